--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -58,7 +58,7 @@
                     None => self.ends.push((i, t.task.clone(), now + RUN_S)),
                 }
             }
-            heartbeat(&mut self.leader, &mut self.store, w, "n1", now);
+            exchange_heartbeat(&mut self.leader, &mut self.store, w, "n1", now);
         }
     }
 
@@ -161,10 +161,10 @@
     assert!((0.08..0.27).contains(&part), "{later} tasks beside {flood}");
 }
 
-fn refuse_all(l: &mut Leader, now: f64) {
-    for call in l.autoscale(now) {
+fn refuse_all(leader: &mut Leader, now: f64) {
+    for call in leader.autoscale(now) {
         if let CloudCall::Rent(rent) = call {
-            l.rental_answered(&rent, None, now);
+            leader.rental_answered(&rent, None, now);
         }
     }
 }
@@ -235,8 +235,8 @@
     f.leader.publish_admission_table(Vec::new(), now + 30.0);
     assert!(next.admission_table().version() > f.leader.admission_table().version());
     // The backlog is known from the state service: it doesn't open by itself.
-    let mut w = Worker::new("vm-000");
-    heartbeat(&mut next, &mut f.store, &mut w, "n2", now + 6.0);
+    let mut worker = Worker::new("vm-000");
+    exchange_heartbeat(&mut next, &mut f.store, &mut worker, "n2", now + 6.0);
     refuse_all(&mut next, now + 6.0);
     next.publish_admission_table(Vec::new(), now + 6.0);
     assert_eq!(next.admission_table().gates.len(), 2, "{}", next.summary());
--- a/crates/control/tests/cancelled_starts.rs
+++ b/crates/control/tests/cancelled_starts.rs
@@ -44,9 +44,9 @@
 
 /// Fills the team's limit with a job whose start stands so; returns a write that may still be
 /// under way.
-fn brought_to(stand: Stand, w: &mut Worker) -> (TestCluster, Option<LedgerBatch>) {
+fn brought_to(stand: Stand, worker: &mut Worker) -> (TestCluster, Option<LedgerBatch>) {
     let mut cluster = TestCluster::new();
-    let report = w.report();
+    let report = worker.next_heartbeat();
     cluster.leader.take_heartbeat("n", &report, &[], 1.0);
     cluster.submit(&job(JOB, 8), 1.0);
     if stand == Stand::Waiting {
@@ -75,8 +75,10 @@
         Stand::TurnedAway => CommandOutcome::NotExecuted,
         Stand::Unanswered => CommandOutcome::Unknown,
         Stand::AnswerLost => {
-            cluster.leader.take_heartbeat("n", &w.report(), &[], 1.5);
-            let last = w.report();
+            cluster
+                .leader
+                .take_heartbeat("n", &worker.next_heartbeat(), &[], 1.5);
+            let last = worker.next_heartbeat();
             cluster.leader.take_heartbeat("n", &last, &[], 2.0);
             let commands = cluster.leader.heartbeat_commands(&last, 2.0);
             assert!(commands.iter().any(starts));
@@ -113,8 +115,8 @@
 #[test]
 fn no_start_is_sent_for_a_job_that_is_known_to_be_cancelled() {
     for stand in STANDS {
-        let mut w = Worker::new("vm-1");
-        let (mut cluster, under_way) = brought_to(stand, &mut w);
+        let mut worker = Worker::new("vm-1");
+        let (mut cluster, under_way) = brought_to(stand, &mut worker);
         cluster.cancel(JOB);
         if let Some(batch) = under_way {
             cluster
@@ -134,16 +136,16 @@
                 .flatten()
             {
                 assert_none(&due.commands.commands, stand, now);
-                w.obey(due.commands.fencing_token, &due.commands.commands);
+                worker.execute_commands(due.commands.fencing_token, &due.commands.commands);
             }
-            let report = w.report();
+            let report = worker.next_heartbeat();
             let token = cluster
                 .leader
                 .take_heartbeat("n", &report, &[], now)
                 .unwrap();
             let commands = cluster.leader.heartbeat_commands(&report, now);
             assert_none(&commands, stand, now);
-            w.obey(token, &commands);
+            worker.execute_commands(token, &commands);
             cluster.leader.audit().unwrap();
         }
         // Nothing of it counts any more: the next job runs in its place.
@@ -155,6 +157,6 @@
                 .all(|(_, task, _)| !task.starts_with(JOB)),
             "{stand:?}"
         );
-        assert_eq!(w.running(), 4, "{stand:?}");
+        assert_eq!(worker.running(), 4, "{stand:?}");
     }
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A scripted state service and scripted workers. Time is a number; nothing
-//! sleeps.
+//! An in-memory key-value store and scripted workers. Tests pass the time as a number of
+//! seconds; nothing sleeps.
 #![allow(dead_code)]
 
 use cherrywood_control::leader::{RecoveredState, WriteOutcome};
@@ -13,15 +13,17 @@
 use cherrywood_wire::user::{JobKind, JobState, Priority, Submission};
 use std::collections::BTreeMap;
 
-/// A stand-in for the state service.
+/// An in-memory stand-in for the key-value store.
 #[derive(Default)]
 pub struct Store {
     pub records: BTreeMap<String, (StoredRecord, u64)>,
     pub revision: u64,
-    /// Bytes of a value and changes of a transaction that it takes, if it looks.
+    /// The most bytes of a value and changes of a transaction that are accepted; unchecked if
+    /// `None`.
     pub limits: Option<(usize, usize)>,
-    /// The time of day is the test's time: new leaders know when jobs were accepted.
-    pub tells_time: bool,
+    /// Whether the time of day is the test's time, so that new leaders know when jobs were
+    /// accepted. Otherwise new leaders get no time of day.
+    pub has_wall_clock: bool,
 }
 
 impl Store {
@@ -73,65 +75,66 @@
         self.revision
     }
 
-    /// A new leader in `epoch`, which reads everything.
-    pub fn elect(&mut self, epoch: u64, now: f64) -> Leader {
-        self.elect_with(settings(), epoch, now)
+    /// Elects the leader of `term`, which reads all records.
+    pub fn elect(&mut self, term: u64, now: f64) -> Leader {
+        self.elect_with(settings(), term, now)
     }
 
-    pub fn elect_with(&mut self, settings: Settings, epoch: u64, now: f64) -> Leader {
-        self.elect_over(settings, epoch, 0.0, now)
+    pub fn elect_with(&mut self, settings: Settings, term: u64, now: f64) -> Leader {
+        self.elect_with_overlap(settings, term, 0.0, now)
     }
 
-    /// The same over a leader that may act for so long yet.
-    pub fn elect_over(
+    /// Like [`Store::elect_with`], while the previous leader may act for another `overlap_s`.
+    pub fn elect_with_overlap(
         &mut self,
         settings: Settings,
-        epoch: u64,
+        term: u64,
         overlap_s: f64,
         now: f64,
     ) -> Leader {
-        let mark = self.put(
+        let revision = self.put(
             keys::LEADER,
             StoredRecord::Leader(cherrywood_wire::records::LeaderRecord {
-                leader: format!("n{epoch}"),
-                term: epoch,
-                nonce: epoch,
+                leader: format!("n{term}"),
+                term,
+                nonce: term,
             }),
         );
-        let from = self.recovered_state(overlap_s, now);
-        Leader::new(epoch, mark, settings, machine_types(), from, now).unwrap()
+        let state = self.recovered_state(overlap_s, now);
+        Leader::new(term, revision, settings, machine_types(), state, now).unwrap()
     }
 
-    /// What a new leader reads.
+    /// Returns the state that a new leader reads.
     pub fn recovered_state(&self, overlap_s: f64, now: f64) -> RecoveredState {
-        let mut from = RecoveredState {
+        let mut state = RecoveredState {
             overlap_s,
-            wall_clock_ms: if self.tells_time {
+            wall_clock_ms: if self.has_wall_clock {
                 (now * 1000.0) as u64
             } else {
                 0
             },
             ..RecoveredState::default()
         };
-        for (key, (value, mark)) in &self.records {
+        for (key, (value, revision)) in &self.records {
             match value {
-                StoredRecord::Job(j) => from.jobs.push(((**j).clone(), *mark)),
-                StoredRecord::PlacementLog(l) => {
-                    let entry = keys::ledger_entry(key).expect("a number");
-                    from.ledger.push((entry, l.clone()));
+                StoredRecord::Job(job) => state.jobs.push(((**job).clone(), *revision)),
+                StoredRecord::PlacementLog(entry) => {
+                    let number = keys::ledger_entry(key).expect("a number");
+                    state.ledger.push((number, entry.clone()));
                 }
-                StoredRecord::Admission(a) => from.admission = Some((**a).clone()),
-                StoredRecord::ImageCache(i) => from.images = Some(i.clone()),
+                StoredRecord::Admission(a) => state.admission = Some((**a).clone()),
+                StoredRecord::ImageCache(i) => state.images = Some(i.clone()),
                 StoredRecord::Progress(p) => {
-                    from.progress.push((key[2..].to_string(), p.clone(), *mark));
+                    let id = key[2..].to_string();
+                    state.progress.push((id, p.clone(), *revision));
                 }
                 _ => {}
             }
         }
-        from
+        state
     }
 
-    /// A user's submission that some node accepted.
+    /// Stores a submission as the controller that accepts it does.
     pub fn accept(&mut self, job: &Submission) -> JobRecord {
         let value = JobRecord::new(job.clone(), self.revision);
         self.put(
@@ -141,36 +144,35 @@
         value
     }
 
-    /// A cancellation that some node acknowledged.
+    /// Stores a cancellation as the controller that acknowledges it does.
     pub fn cancel(&mut self, id: &str) {
         self.revision += 1;
         if self.records.remove(&keys::job(id)).is_some() {
-            self.end(id, JobState::Cancelled);
+            self.put_final_state(id, JobState::Cancelled);
         }
     }
 
-    /// How a job ended, whoever wrote it.
-    pub fn end(&mut self, id: &str, ended: JobState) {
-        let (tasks, at_ms) = (1, None);
+    /// Stores the final state of a job.
+    pub fn put_final_state(&mut self, id: &str, state: JobState) {
         let value = FinalStateRecord {
-            state: ended,
-            tasks,
-            ended_at_ms: at_ms,
+            state,
+            tasks: 1,
+            ended_at_ms: None,
         };
         self.put(&keys::ended(id), StoredRecord::FinalState(value));
     }
 
-    pub fn ended(&self, id: &str) -> Option<JobState> {
+    pub fn final_state(&self, id: &str) -> Option<JobState> {
         match self.records.get(&keys::ended(id)) {
             Some((StoredRecord::FinalState(f), _)) => Some(f.state),
             _ => None,
         }
     }
 
-    /// What a node reads for the leader.
-    pub fn answer_need_queries(&self, leader: &mut Leader, now: f64) {
+    /// Reads the final states that the leader asks for, as its controller does.
+    pub fn answer_job_lookups(&self, leader: &mut Leader, now: f64) {
         for id in leader.jobs_to_look_up() {
-            leader.job_ended(&id, self.ended(&id), None, now);
+            leader.job_ended(&id, self.final_state(&id), None, now);
         }
     }
 }
@@ -270,7 +272,7 @@
     }
 }
 
-/// A task on a worker, and how it exited, once it has.
+/// A task on a worker, with its exit cause once it has exited.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerTask {
     pub task: String,
@@ -296,13 +298,13 @@
     }
 }
 
-/// A stand-in for a worker: obeys the highest token, starts what it is told.
+/// A stand-in for a worker, which executes commands under its newest fencing token or a newer one.
 pub struct Worker {
     pub name: String,
     pub zone: String,
-    pub session: u64,
-    pub seq: u64,
-    pub token: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
     pub tasks: Vec<WorkerTask>,
 }
 
@@ -311,24 +313,24 @@
         Worker {
             name: name.into(),
             zone: "a".into(),
-            session: 1,
-            seq: 0,
-            token: 0,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             tasks: Vec::new(),
         }
     }
 
-    pub fn report(&mut self) -> Heartbeat {
-        self.seq += 1;
+    pub fn next_heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
             address: String::new(),
             machine_type: "m8".into(),
             zone: self.zone.clone(),
             spot: true,
-            incarnation: self.session,
-            sequence: self.seq,
-            fencing_token: self.token,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             spot_notice_s: None,
             tasks: self
                 .tasks
@@ -348,11 +350,11 @@
         }
     }
 
-    pub fn obey(&mut self, token: u64, commands: &[Command]) {
-        if token < self.token {
+    pub fn execute_commands(&mut self, fencing_token: u64, commands: &[Command]) {
+        if fencing_token < self.fencing_token {
             return;
         }
-        self.token = token;
+        self.fencing_token = fencing_token;
         for c in commands {
             match c {
                 Command::Start { task, attempt } => {
@@ -380,26 +382,26 @@
     }
 }
 
-/// A state service and the leader of the current term, with `settings()` unless said
-/// otherwise.
+/// A key-value store and the leader of the current term, with `settings()` unless a test
+/// states otherwise.
 pub struct TestCluster {
     pub store: Store,
     pub leader: Leader,
 }
 
 impl TestCluster {
-    /// The leader of term 1 is elected at 0 s.
+    /// A cluster whose leader of term 1 is elected at 0 s over an empty store.
     pub fn new() -> TestCluster {
-        TestCluster::over(Store::default())
+        TestCluster::with_store(Store::default())
     }
 
-    /// The same over what the state service holds already.
-    pub fn over(mut store: Store) -> TestCluster {
+    /// A cluster whose leader of term 1 is elected at 0 s over this store.
+    pub fn with_store(mut store: Store) -> TestCluster {
         let leader = store.elect(1, 0.0);
         TestCluster { store, leader }
     }
 
-    /// A machine `vm-1` on which a job `wk-000001` of so many tasks runs since 2 s.
+    /// A cluster with a machine `vm-1` on which all tasks of the job `wk-000001` run at 2 s.
     pub fn with_running_job(tasks: u32) -> (TestCluster, Worker) {
         let mut cluster = TestCluster::new();
         let mut worker = Worker::new("vm-1");
@@ -410,28 +412,29 @@
         (cluster, worker)
     }
 
-    /// Another leader takes over, which reads everything; the former is gone.
+    /// Elects the leader of `term`, which reads all records; the former leader is dropped.
     pub fn fail_over(&mut self, term: u64, now: f64) {
         self.leader = self.store.elect(term, now);
     }
 
-    /// A user's submission that some controller accepted, and that the leader sees.
+    /// Stores an accepted submission and shows it to the leader.
     pub fn submit(&mut self, job: &Submission, now: f64) {
         submit(&mut self.leader, &mut self.store, job, now);
     }
 
-    /// A cancellation that some controller confirmed, and that the leader sees.
+    /// Stores an acknowledged cancellation and shows it to the leader.
     pub fn cancel(&mut self, id: &str) {
         self.store.cancel(id);
         self.leader.remove_job(id);
     }
 
-    /// One heartbeat with everything that follows from it; false if it isn't answered.
+    /// Sends one heartbeat, places pending tasks, writes all batches and executes the commands
+    /// of the response. Returns whether there was a response.
     pub fn heartbeat(&mut self, worker: &mut Worker, owner: &str, now: f64) -> bool {
-        heartbeat(&mut self.leader, &mut self.store, worker, owner, now)
+        exchange_heartbeat(&mut self.leader, &mut self.store, worker, owner, now)
     }
 
-    /// Every batch that the leader has is written.
+    /// Writes every batch that the leader has.
     pub fn write_all(&mut self) {
         write_all(&mut self.leader, &mut self.store);
     }
@@ -440,18 +443,18 @@
         write_all_at(&mut self.leader, &mut self.store, now);
     }
 
-    /// What the leader wants to read again is read.
+    /// Reads the keys that the leader wants to read again.
     pub fn reread(&mut self) {
         reread(&mut self.leader, &self.store);
     }
 
-    /// How much may be on this machine, as far as the leader knows.
+    /// Number of placements that the leader holds on this machine.
     pub fn placements_on(&self, machine: &str) -> usize {
         placements_on(&self.leader, machine)
     }
 }
 
-/// How much may be on this machine, as far as this leader knows.
+/// Number of placements that this leader holds on this machine.
 pub fn placements_on(leader: &Leader, machine: &str) -> usize {
     leader
         .placements_held()
@@ -460,7 +463,7 @@
         .count()
 }
 
-/// Every batch that the leader has is written.
+/// Writes every batch that the leader has.
 pub fn write_all(leader: &mut Leader, store: &mut Store) {
     write_all_at(leader, store, 0.0);
 }
@@ -484,22 +487,23 @@
     }
 }
 
-/// One heartbeat with everything that follows from it; false if it isn't answered.
-pub fn heartbeat(
+/// Sends one heartbeat, places pending tasks, writes all batches and executes the commands
+/// of the response. Returns whether there was a response.
+pub fn exchange_heartbeat(
     leader: &mut Leader,
     store: &mut Store,
-    w: &mut Worker,
+    worker: &mut Worker,
     owner: &str,
     now: f64,
 ) -> bool {
-    let r = w.report();
-    let Some(token) = leader.take_heartbeat(owner, &r, &[], now) else {
+    let heartbeat = worker.next_heartbeat();
+    let Some(token) = leader.take_heartbeat(owner, &heartbeat, &[], now) else {
         return false;
     };
     leader.place_pending(now);
     write_all(leader, store);
-    let commands = leader.heartbeat_commands(&r, now);
-    w.obey(token, &commands);
+    let commands = leader.heartbeat_commands(&heartbeat, now);
+    worker.execute_commands(token, &commands);
     true
 }
 
@@ -508,7 +512,7 @@
     leader.add_job(value, store.revision_of(&keys::job(&job.id)), now);
 }
 
-/// A job of team `wide`, whose quota never binds.
+/// A job of team `wide`, whose quota is never reached.
 pub fn wide_job(id: &str, tasks: u32) -> Submission {
     Submission {
         team: "wide".into(),
--- a/crates/control/tests/controller_failovers.rs
+++ b/crates/control/tests/controller_failovers.rs
@@ -1,7 +1,7 @@
-//! Several controllers and machines while the work of one controller goes to another:
-//! leaders and holders that end, come back, are cut off or lose sight of cancellations,
-//! machines that are mute, deaf or cut off with a controller, late commands and reports.
-//! What is asserted is the protocol's.
+//! Failovers among several controllers with many machines: leaders and shard owners that fail,
+//! restart, are partitioned or no longer see cancellations; machines that send nothing, receive
+//! nothing or are partitioned together with a controller; late commands and heartbeats. The
+//! assertions are the guarantees of the protocol.
 
 mod common;
 
@@ -17,55 +17,60 @@
 use std::collections::BTreeMap;
 
 const STEP_S: f64 = 0.25;
-const NODES: usize = 3;
+const CONTROLLERS: usize = 3;
 const MACHINES: usize = 6;
-/// Of these the first are in one zone with controller 0: so many that a silent zone is
-/// taken for a cut and not for dead machines.
+/// The first machines, which are in one zone with controller 0. There are enough of them that
+/// a silent zone is taken for a partition and not for failed machines.
 const ZONE_MACHINES: usize = 3;
-/// Tasks that the team's limit allows at once.
+/// Tasks that the team's quota allows at once.
 const TEAM_TASKS: usize = 8;
 
-/// One controller; what it knows ends with its process.
+/// One controller, whose state is lost when its process fails.
 #[derive(Default)]
-struct Node {
-    holder: ShardOwner,
+struct Controller {
+    owner: ShardOwner,
     leadership: Leadership,
     leader: Option<Leader>,
-    /// Until when it doesn't run, is refused by the state service (or only in what it
-    /// watches), and is cut off from the other controllers.
-    down: f64,
-    refused: f64,
-    blind: f64,
-    alone: f64,
+    /// Until when the process does not run.
+    down_until: f64,
+    /// Until when the key-value store refuses its requests.
+    refused_until: f64,
+    /// Until when its watches are refused.
+    watch_refused_until: f64,
+    /// Until when it is partitioned from the other controllers.
+    partitioned_until: f64,
 }
 
 struct Machine {
     worker: Worker,
-    /// When the last answered report was sent.
-    leased: f64,
-    node: usize,
-    next: f64,
-    /// Until when no report leaves it, and nothing reaches it.
-    mute: f64,
-    deaf: f64,
+    /// When the last heartbeat that got a response was sent.
+    leased_at: f64,
+    /// The controller that the worker sends heartbeats to.
+    controller: usize,
+    /// When the next heartbeat is due.
+    next_at: f64,
+    /// Until when no heartbeat of the machine arrives.
+    sends_nothing_until: f64,
+    /// Until when nothing arrives at the machine.
+    receives_nothing_until: f64,
 }
 
 impl Machine {
     fn new(name: &str, now: f64) -> Machine {
         Machine {
             worker: Worker::new(name),
-            leased: now,
-            node: 0,
-            next: now,
-            mute: 0.0,
-            deaf: 0.0,
+            leased_at: now,
+            controller: 0,
+            next_at: now,
+            sends_nothing_until: 0.0,
+            receives_nothing_until: 0.0,
         }
     }
 }
 
-/// The leader's key: who holds it, under which lease, until when.
+/// The leader's key in the key-value store: its controller, its lease and when that expires.
 struct Key {
-    node: usize,
+    controller: usize,
     lease: u64,
     until: f64,
 }
@@ -76,55 +81,60 @@
     timing: LeaseTiming,
     store: Store,
     key: Option<Key>,
-    epoch: u64,
-    outage: f64,
-    nodes: Vec<Node>,
+    term: u64,
+    outage_until: f64,
+    controllers: Vec<Controller>,
     machines: Vec<Machine>,
-    /// Machines were made so far.
-    made: usize,
-    /// The cloud deletes nothing: only exits, reports and leases prove that a task is gone.
-    no_cloud: bool,
-    /// Until when the zone is cut off from everything else.
-    zone_cut: f64,
-    late_orders: Vec<(f64, String, DirectCommands)>,
-    /// DirectCommands without an answer: when their leader of this epoch gives up waiting.
-    unanswered: Vec<(f64, u64, String, DirectCommands)>,
-    late_reports: Vec<(f64, Heartbeat)>,
-    for_next: Vec<Heartbeat>,
+    /// Number of machines made so far.
+    machines_made: usize,
+    /// Whether the cloud deletes nothing, so that only exits, heartbeats and expired leases prove
+    /// that a task is gone.
+    is_deletion_disabled: bool,
+    /// Until when the zone is partitioned from everything else.
+    zone_partitioned_until: f64,
+    late_commands: Vec<(f64, String, DirectCommands)>,
+    /// Direct commands without a response: when their leader, of this term, stops waiting, the
+    /// term, the machine and the commands.
+    awaited_commands: Vec<(f64, u64, String, DirectCommands)>,
+    late_heartbeats: Vec<(f64, Heartbeat)>,
+    /// Heartbeats that arrive once more at every controller right after the next election.
+    heartbeats_for_next_leader: Vec<Heartbeat>,
+    /// Cancelled jobs, with the time of the cancellation.
     cancelled: BTreeMap<String, f64>,
     jobs: Vec<Submission>,
-    /// Share of the steps in which a task that runs ends.
-    ends: f64,
-    met: BTreeMap<&'static str, u32>,
+    /// Probability that a running task completes in a step.
+    completion_rate: f64,
+    /// How often each event occurred.
+    events: BTreeMap<&'static str, u32>,
 }
 
 impl World {
-    fn new(seed: u64, ends: f64) -> World {
-        let w = worker_settings();
+    fn new(seed: u64, completion_rate: f64) -> World {
+        let world = worker_settings();
         let names = 0..MACHINES;
         World {
             rng: StdRng::seed_from_u64(seed),
             now: 0.0,
-            timing: LeaseTiming::new(w.lease_s, w.cancel_s),
+            timing: LeaseTiming::new(world.lease_s, world.cancel_s),
             store: Store::default(),
             key: None,
-            epoch: 0,
-            outage: 0.0,
-            nodes: (0..NODES).map(|_| Node::default()).collect(),
+            term: 0,
+            outage_until: 0.0,
+            controllers: (0..CONTROLLERS).map(|_| Controller::default()).collect(),
             machines: names
                 .map(|n| Machine::new(&format!("vm-{n}"), 0.0))
                 .collect(),
-            made: MACHINES,
-            no_cloud: false,
-            zone_cut: 0.0,
-            late_orders: Vec::new(),
-            unanswered: Vec::new(),
-            late_reports: Vec::new(),
-            for_next: Vec::new(),
+            machines_made: MACHINES,
+            is_deletion_disabled: false,
+            zone_partitioned_until: 0.0,
+            late_commands: Vec::new(),
+            awaited_commands: Vec::new(),
+            late_heartbeats: Vec::new(),
+            heartbeats_for_next_leader: Vec::new(),
             cancelled: BTreeMap::new(),
             jobs: Vec::new(),
-            ends,
-            met: BTreeMap::new(),
+            completion_rate,
+            events: BTreeMap::new(),
         }
     }
 
@@ -132,38 +142,48 @@
         self.rng.random_bool(p)
     }
 
-    fn meet(&mut self, what: &'static str) {
-        *self.met.entry(what).or_default() += 1;
+    fn record(&mut self, what: &'static str) {
+        *self.events.entry(what).or_default() += 1;
     }
 
-    fn up(&self, n: usize) -> bool {
-        self.nodes[n].down <= self.now
+    fn is_up(&self, n: usize) -> bool {
+        self.controllers[n].down_until <= self.now
     }
 
-    fn cut(&self) -> bool {
-        self.zone_cut > self.now
+    fn is_zone_partitioned(&self) -> bool {
+        self.zone_partitioned_until > self.now
     }
 
-    /// Does the state service answer this controller?
-    fn served(&self, n: usize) -> bool {
-        let own = n == 0 && self.cut();
-        self.up(n) && self.outage <= self.now && self.nodes[n].refused <= self.now && !own
+    /// Whether the key-value store serves this controller.
+    fn is_served(&self, n: usize) -> bool {
+        let own = n == 0 && self.is_zone_partitioned();
+        self.is_up(n)
+            && self.outage_until <= self.now
+            && self.controllers[n].refused_until <= self.now
+            && !own
     }
 
-    fn linked(&self, a: usize, b: usize) -> bool {
-        let own = self.cut() && (a == 0) != (b == 0);
-        let alone = [a, b].iter().any(|n| self.nodes[*n].alone > self.now);
-        a == b || self.up(a) && self.up(b) && !own && !alone
+    fn are_linked(&self, a: usize, b: usize) -> bool {
+        let own = self.is_zone_partitioned() && (a == 0) != (b == 0);
+        let partitioned_until = [a, b]
+            .iter()
+            .any(|n| self.controllers[*n].partitioned_until > self.now);
+        a == b || self.is_up(a) && self.is_up(b) && !own && !partitioned_until
     }
 
-    fn reaches(&self, machine: usize, n: usize) -> bool {
-        self.up(n) && !(self.cut() && (machine < ZONE_MACHINES) != (n == 0))
+    fn can_reach(&self, machine: usize, n: usize) -> bool {
+        self.is_up(n) && !(self.is_zone_partitioned() && (machine < ZONE_MACHINES) != (n == 0))
     }
 
     fn may_act(&self, n: usize) -> bool {
-        let node = &self.nodes[n];
-        let may_act = node.leadership.may_act(self.now, &self.timing);
-        self.up(n) && may_act && node.leader.as_ref().is_some_and(|l| !l.deposed)
+        let controller = &self.controllers[n];
+        let may_act = controller.leadership.may_act(self.now, &self.timing);
+        self.is_up(n)
+            && may_act
+            && controller
+                .leader
+                .as_ref()
+                .is_some_and(|leader| !leader.deposed)
     }
 
     // --- leadership ---
@@ -173,72 +193,75 @@
         if self
             .key
             .as_ref()
-            .is_some_and(|k| now > k.until && self.outage <= now)
+            .is_some_and(|k| now > k.until && self.outage_until <= now)
         {
             self.key = None;
         }
-        for n in 0..NODES {
-            if !self.served(n) || self.nodes[n].leadership.lease_id() != 0 {
+        for n in 0..CONTROLLERS {
+            if !self.is_served(n) || self.controllers[n].leadership.lease_id() != 0 {
                 continue;
             }
-            // Its own earlier process held the key: that lease is ended at once.
-            let own = self.key.as_ref().is_some_and(|k| k.node == n);
+            // If an earlier process of this controller held the key, that lease is ended at once.
+            let own = self.key.as_ref().is_some_and(|k| k.controller == n);
             if self.key.is_some() && !own {
                 continue;
             }
-            self.epoch += 1;
+            self.term += 1;
             let overlap = if own { self.timing.leader_lease_s } else { 0.0 };
             let until = now + self.timing.leader_lease_s;
-            let lease = self.epoch;
+            let lease = self.term;
             self.key = Some(Key {
-                node: n,
+                controller: n,
                 lease,
                 until,
             });
-            let leader = self.store.elect_over(settings(), self.epoch, overlap, now);
-            let node = &mut self.nodes[n];
-            node.leadership.acquired(lease, now, &self.timing);
-            node.leadership.view_completed(lease, now);
-            node.leader = Some(leader);
-            self.meet("leader begins");
-            for r in std::mem::take(&mut self.for_next) {
-                self.copies(&r);
+            let leader = self
+                .store
+                .elect_with_overlap(settings(), self.term, overlap, now);
+            let controller = &mut self.controllers[n];
+            controller.leadership.acquired(lease, now, &self.timing);
+            controller.leadership.view_completed(lease, now);
+            controller.leader = Some(leader);
+            self.record("leader elected");
+            for r in std::mem::take(&mut self.heartbeats_for_next_leader) {
+                self.deliver_to_all(&r);
             }
         }
     }
 
     fn renew(&mut self, n: usize) {
-        let lease = self.nodes[n].leadership.lease_id();
-        if lease == 0 || !self.served(n) {
+        let lease = self.controllers[n].leadership.lease_id();
+        if lease == 0 || !self.is_served(n) {
             return;
         }
         let (now, timing) = (self.now, self.timing);
         let mine = self.key.as_mut().filter(|k| k.lease == lease);
-        let node = &mut self.nodes[n];
-        let deposed = node.leader.as_ref().is_some_and(|l| l.deposed);
+        let controller = &mut self.controllers[n];
+        let deposed = controller.leader.as_ref().is_some_and(|l| l.deposed);
         match mine {
             Some(key) if !deposed => {
                 key.until = now + timing.leader_lease_s;
-                node.leadership.lease_renewed(lease, now, &timing);
+                controller.leadership.lease_renewed(lease, now, &timing);
             }
             _ => {
-                node.leadership.lost();
-                node.leader = None;
+                controller.leadership.lost();
+                controller.leader = None;
                 return;
             }
         }
-        if node.leadership.renewed_without_view_s(now) > cherrywood_limits::RENEW_WITHOUT_VIEW_MAX_S
+        if controller.leadership.renewed_without_view_s(now)
+            > cherrywood_limits::RENEW_WITHOUT_VIEW_MAX_S
         {
-            node.leadership.lost();
-            node.leader = None;
+            controller.leadership.lost();
+            controller.leader = None;
             self.key = None;
-            self.meet("blind leader gives up");
+            self.record("leader without a view gives up its lease");
             return;
         }
-        if node.blind > now {
+        if controller.watch_refused_until > now {
             return;
         }
-        let Some(leader) = &mut node.leader else {
+        let Some(leader) = &mut controller.leader else {
             return;
         };
         for id in leader.live_job_ids() {
@@ -253,11 +276,11 @@
                 leader.add_job((**j).clone(), *mark, now);
             }
         }
-        node.leadership.view_completed(lease, now);
+        controller.leadership.view_completed(lease, now);
     }
 
-    fn execute(&mut self, n: usize, txn: &Txn) -> WriteOutcome {
-        match self.served(n) {
+    fn execute_transaction(&mut self, n: usize, txn: &Txn) -> WriteOutcome {
+        match self.is_served(n) {
             true => self.store.apply(txn),
             false => WriteOutcome::Refused,
         }
@@ -265,29 +288,32 @@
 
     fn lead(&mut self, n: usize) {
         let now = self.now;
-        let may_write = self.nodes[n].leadership.may_write(now);
-        let Some(mut leader) = self.nodes[n].leader.take_if(|l| may_write && !l.deposed) else {
+        let may_write = self.controllers[n].leadership.may_write(now);
+        let Some(mut leader) = self.controllers[n]
+            .leader
+            .take_if(|l| may_write && !l.deposed)
+        else {
             return;
         };
         leader.place_pending(now);
         for _ in 0..3 {
             if let Some(batch) = leader.ledger_batch() {
-                let outcome = self.execute(n, &batch.txn);
+                let outcome = self.execute_transaction(n, &batch.txn);
                 leader.ledger_batch_done(batch, &outcome);
             }
             if let Some(batch) = leader.job_batch(true, now) {
-                let outcome = self.execute(n, &batch.txn);
+                let outcome = self.execute_transaction(n, &batch.txn);
                 leader.job_batch_done(batch, &outcome, now);
             }
-            if self.served(n) {
+            if self.is_served(n) {
                 reread(&mut leader, &self.store);
             }
         }
-        self.nodes[n].leader = Some(leader);
+        self.controllers[n].leader = Some(leader);
         if self.may_act(n) {
-            self.order(n);
+            self.send_direct_commands(n);
         }
-        let calls = match &mut self.nodes[n].leader {
+        let calls = match &mut self.controllers[n].leader {
             Some(l) if ((now / STEP_S) as u64).is_multiple_of(4) => l.autoscale(now),
             _ => Vec::new(),
         };
@@ -295,243 +321,267 @@
             let CloudCall::Delete(names) = call else {
                 continue;
             };
-            if self.no_cloud {
+            if self.is_deletion_disabled {
                 continue;
             }
-            self.meet("machines deleted");
+            self.record("machines deleted");
             self.machines.retain(|m| !names.contains(&m.worker.name));
-            if let Some(l) = &mut self.nodes[n].leader {
+            if let Some(l) = &mut self.controllers[n].leader {
                 l.machines_deleted(&names, now);
             }
             while self.machines.len() < MACHINES {
-                self.made += 1;
-                let name = format!("vm-{}", self.made);
+                self.machines_made += 1;
+                let name = format!("vm-{}", self.machines_made);
                 self.machines.push(Machine::new(&name, now));
             }
         }
-        if let Some(l) = &self.nodes[n].leader {
+        if let Some(l) = &self.controllers[n].leader {
             l.audit().unwrap();
         }
     }
 
     // --- direct commands ---
 
-    fn order(&mut self, n: usize) {
+    fn send_direct_commands(&mut self, n: usize) {
         let now = self.now;
-        let Some(l) = &mut self.nodes[n].leader else {
+        let Some(leader) = &mut self.controllers[n].leader else {
             return;
         };
-        let (orders, stops) = (l.due_direct_commands(now), l.due_direct_stops(now));
-        let questions = l.due_status_queries(now);
-        for (holder, orders) in orders {
-            let by = (0..NODES).find(|k| format!("n{k}") == holder).unwrap_or(n);
-            for due in orders {
-                let (machine, orders) = (due.machine, due.commands);
-                let told = match self.linked(n, by) {
-                    true => self.deliver(by, &machine, &orders).map(|r| r.is_some()),
+        let (commands, stops) = (
+            leader.due_direct_commands(now),
+            leader.due_direct_stops(now),
+        );
+        let queries = leader.due_status_queries(now);
+        for (owner, commands) in commands {
+            let by = (0..CONTROLLERS)
+                .find(|k| format!("n{k}") == owner)
+                .unwrap_or(n);
+            for due in commands {
+                let (machine, commands) = (due.machine, due.commands);
+                let executed = match self.are_linked(n, by) {
+                    true => self.deliver(by, &machine, &commands).map(|r| r.is_some()),
                     false => None,
                 };
-                let Some(l) = &mut self.nodes[n].leader else {
+                let Some(leader) = &mut self.controllers[n].leader else {
                     continue;
                 };
-                match told {
-                    Some(told) => l.direct_commands_done(&machine, &orders, Some(told).into()),
+                match executed {
+                    Some(executed) => {
+                        leader.direct_commands_done(&machine, &commands, Some(executed).into());
+                    }
                     None => {
                         let wait = now + cherrywood_limits::PEER_DIRECT_COMMANDS_TIMEOUT_S;
-                        self.unanswered.push((wait, l.term(), machine, orders));
+                        self.awaited_commands
+                            .push((wait, leader.term(), machine, commands));
                     }
                 }
             }
         }
         for stop in stops {
             if let Some(Some(r)) = self.deliver(n, &stop.machine, &stop.commands) {
-                self.meet("stop sent straight to a machine");
-                if let Some(l) = &mut self.nodes[n].leader {
-                    l.take_direct_status(&r, now);
+                self.record("direct stop executed");
+                if let Some(leader) = &mut self.controllers[n].leader {
+                    leader.take_direct_status(&r, now);
                 }
             }
         }
-        for StatusQuery { machine, .. } in questions {
+        for StatusQuery { machine, .. } in queries {
             let at = self.machines.iter().position(|m| m.worker.name == machine);
-            let at = at.filter(|at| self.reaches(*at, n) && self.machines[*at].deaf <= now);
-            let status = at.map(|at| self.machines[at].worker.report());
-            if let Some(l) = &mut self.nodes[n].leader {
-                l.status_query_done(&machine, now, status.as_ref(), now);
+            let at = at.filter(|at| {
+                self.can_reach(*at, n) && self.machines[*at].receives_nothing_until <= now
+            });
+            let status = at.map(|at| self.machines[at].worker.next_heartbeat());
+            if let Some(leader) = &mut self.controllers[n].leader {
+                leader.status_query_done(&machine, now, status.as_ref(), now);
             }
         }
     }
 
-    /// Some(Some) executed, Some(None) not executed, None unknown.
+    /// Sends direct commands to a machine. Returns `Some(Some(_))` if they were executed,
+    /// `Some(None)` if not, and `None` if the sender does not learn it.
     fn deliver(
         &mut self,
         by: usize,
         machine: &str,
-        orders: &DirectCommands,
+        commands: &DirectCommands,
     ) -> Option<Option<Heartbeat>> {
         let at = self.machines.iter().position(|m| m.worker.name == machine);
-        let Some(at) = at.filter(|at| self.reaches(*at, by)) else {
+        let Some(at) = at.filter(|at| self.can_reach(*at, by)) else {
             return Some(None);
         };
-        if self.machines[at].deaf > self.now {
+        if self.machines[at].receives_nothing_until > self.now {
             return None;
         }
         if self.chance(0.15) {
             let late = self.now + self.rng.random_range(2.0..16.0);
-            self.late_orders
-                .push((late, machine.to_string(), orders.clone()));
+            self.late_commands
+                .push((late, machine.to_string(), commands.clone()));
             return None;
         }
         let executed = self
-            .obey(at, orders)
-            .then(|| self.machines[at].worker.report());
+            .execute_commands(at, commands)
+            .then(|| self.machines[at].worker.next_heartbeat());
         match self.chance(0.9) {
             true => Some(executed),
             false => None,
         }
     }
 
-    fn obey(&mut self, at: usize, orders: &DirectCommands) -> bool {
-        let w = &mut self.machines[at].worker;
-        let mine = orders.incarnation == w.session && orders.fencing_token >= w.token;
+    fn execute_commands(&mut self, at: usize, commands: &DirectCommands) -> bool {
+        let worker = &mut self.machines[at].worker;
+        let mine = commands.incarnation == worker.incarnation
+            && commands.fencing_token >= worker.fencing_token;
         if mine {
-            w.obey(orders.fencing_token, &orders.commands);
+            worker.execute_commands(commands.fencing_token, &commands.commands);
         }
         self.check();
         mine
     }
 
-    // --- reports ---
+    // --- heartbeats ---
 
-    /// What the controller `n` answers to a report.
-    fn answer(&mut self, n: usize, r: &Heartbeat) -> Option<HeartbeatResponse> {
+    /// Returns the response of controller `n` to a heartbeat.
+    fn respond(&mut self, n: usize, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
         let now = self.now;
-        self.nodes[n].holder.observe_heartbeat(r, now);
-        let leader = (0..NODES).find(|k| self.may_act(*k) && self.linked(n, *k));
+        self.controllers[n].owner.observe_heartbeat(heartbeat, now);
+        let leader = (0..CONTROLLERS).find(|k| self.may_act(*k) && self.are_linked(n, *k));
         let led = leader.and_then(|k| {
-            let l = self.nodes[k].leader.as_mut()?;
-            let fencing_token = l.take_heartbeat(&format!("n{n}"), r, &[], now)?;
-            let commands = l.heartbeat_commands(r, now);
+            let l = self.controllers[k].leader.as_mut()?;
+            let fencing_token = l.take_heartbeat(&format!("n{n}"), heartbeat, &[], now)?;
+            let commands = l.heartbeat_commands(heartbeat, now);
             Some(HeartbeatResponse {
                 fencing_token,
                 commands,
             })
         });
-        let holder = &mut self.nodes[n].holder;
-        holder.heartbeat_response(&r.machine, led, now, now, self.timing.shard_lease_s)
+        let owner = &mut self.controllers[n].owner;
+        owner.heartbeat_response(&heartbeat.machine, led, now, now, self.timing.shard_lease_s)
     }
 
-    /// An old report arrives at every controller; nobody hears the answers.
-    fn copies(&mut self, r: &Heartbeat) {
-        self.meet("old report at every controller");
-        for n in 0..NODES {
-            if self.up(n) {
-                self.answer(n, r);
+    /// Delivers an old heartbeat to every controller; the responses are lost.
+    fn deliver_to_all(&mut self, heartbeat: &Heartbeat) {
+        self.record("old heartbeat at every controller");
+        for n in 0..CONTROLLERS {
+            if self.is_up(n) {
+                self.respond(n, heartbeat);
             }
         }
     }
 
-    fn heartbeat(&mut self, at: usize, troubled: bool) {
+    fn heartbeat(&mut self, at: usize, with_faults: bool) {
         let now = self.now;
-        if self.machines[at].next > now || self.machines[at].mute > now {
+        if self.machines[at].next_at > now || self.machines[at].sends_nothing_until > now {
             return;
         }
-        self.machines[at].next = now + self.rng.random_range(0.75..1.25);
-        let (n, r) = (self.machines[at].node, self.machines[at].worker.report());
-        if troubled && self.chance(0.05) {
+        self.machines[at].next_at = now + self.rng.random_range(0.75..1.25);
+        let (n, r) = (
+            self.machines[at].controller,
+            self.machines[at].worker.next_heartbeat(),
+        );
+        if with_faults && self.chance(0.05) {
             let late = now + self.rng.random_range(2.0..30.0);
-            self.late_reports.push((late, r.clone()));
+            self.late_heartbeats.push((late, r.clone()));
         }
-        if troubled && self.chance(0.01) {
-            self.for_next.push(r.clone());
+        if with_faults && self.chance(0.01) {
+            self.heartbeats_for_next_leader.push(r.clone());
         }
-        let answer = match self.reaches(at, n) {
-            true => self.answer(n, &r),
+        let response = match self.can_reach(at, n) {
+            true => self.respond(n, &r),
             false => None,
         };
-        let lost = self.machines[at].deaf > now || troubled && self.chance(0.05);
+        let lost =
+            self.machines[at].receives_nothing_until > now || with_faults && self.chance(0.05);
         let m = &mut self.machines[at];
-        match answer.filter(|a| !lost && a.fencing_token >= m.worker.token) {
+        match response.filter(|a| !lost && a.fencing_token >= m.worker.fencing_token) {
             Some(response) => {
-                m.worker.obey(response.fencing_token, &response.commands);
-                m.leased = now;
+                m.worker
+                    .execute_commands(response.fencing_token, &response.commands);
+                m.leased_at = now;
             }
             None => {
-                m.node = (n + 1) % NODES;
-                m.next = now + 1.0;
+                m.controller = (n + 1) % CONTROLLERS;
+                m.next_at = now + 1.0;
             }
         }
         self.check();
     }
 
-    fn hellos(&mut self) {
+    fn exchange_hellos(&mut self) {
         let now = self.now;
-        for n in 0..NODES {
-            for k in 0..NODES {
-                if n == k || !self.linked(n, k) || !self.may_act(k) {
+        for n in 0..CONTROLLERS {
+            for k in 0..CONTROLLERS {
+                if n == k || !self.are_linked(n, k) || !self.may_act(k) {
                     continue;
                 }
-                let leader = self.nodes[k].leader.as_mut();
+                let leader = self.controllers[k].leader.as_mut();
                 let block = leader.map(|l| l.extend_shard(&format!("n{n}"), now));
                 for (machine, token) in block.unwrap_or_default() {
-                    let holder = &mut self.nodes[n].holder;
-                    holder.lease_granted(&machine, token, now, self.timing.shard_lease_s);
+                    let owner = &mut self.controllers[n].owner;
+                    owner.lease_granted(&machine, token, now, self.timing.shard_lease_s);
                 }
             }
         }
     }
 
-    // --- troubles, and what must hold ---
+    // --- fault injection and invariants ---
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let now = self.now;
-        let n = self.rng.random_range(0..NODES);
-        let long = now + self.rng.random_range(1.0..30.0);
-        let short = now + self.rng.random_range(0.2..6.0);
+        let n = self.rng.random_range(0..CONTROLLERS);
+        let late = now + self.rng.random_range(1.0..30.0);
+        let soon = now + self.rng.random_range(0.2..6.0);
         match self.rng.random_range(0..11) {
             0 | 1 => {
-                let leads = (0..NODES).find(|k| self.nodes[*k].leader.is_some());
+                let leads = (0..CONTROLLERS).find(|k| self.controllers[*k].leader.is_some());
                 let n = leads.unwrap_or(n);
-                self.end(n, short);
+                self.fail_controller(n, soon);
+            }
+            2 => (0..CONTROLLERS).for_each(|n| self.fail_controller(n, soon + n as f64 * 0.5)),
+            3 => self.controllers[n].refused_until = late,
+            4 => self.controllers[n].watch_refused_until = late,
+            5 => {
+                self.controllers[n].refused_until = late;
+                self.controllers[n].partitioned_until = late;
             }
-            2 => (0..NODES).for_each(|n| self.end(n, short + n as f64 * 0.5)),
-            3 => self.nodes[n].refused = long,
-            4 => self.nodes[n].blind = long,
-            5 => (self.nodes[n].refused, self.nodes[n].alone) = (long, long),
             6 => {
-                // Up to the end of every grant and lease there.
-                self.zone_cut = now + self.rng.random_range(5.0..40.0);
-                self.meet("zone cut off");
+                // Up to the expiry of every shard lease and worker lease there.
+                self.zone_partitioned_until = now + self.rng.random_range(5.0..40.0);
+                self.record("zone partitioned");
             }
-            7 => self.outage = long,
+            7 => self.outage_until = late,
             _ => {
                 let at = self.rng.random_range(0..MACHINES);
                 let m = &mut self.machines[at];
                 match self.rng.random_bool(0.5) {
-                    true => m.mute = long,
-                    false => m.deaf = long,
+                    true => m.sends_nothing_until = late,
+                    false => m.receives_nothing_until = late,
                 }
-                self.meet("mute or deaf machine");
+                self.record("one-way partition of a machine");
                 let name = self.machines[at].worker.name.clone();
                 self.cancel_on(|m| m.worker.name == name);
             }
         }
-        // Users call off what runs, at that very moment or a second later.
+        // Users cancel running jobs while the fault lasts.
         if self.chance(0.7) {
             self.cancel();
         }
     }
 
-    fn end(&mut self, n: usize, until: f64) {
-        let node = &mut self.nodes[n];
-        let (refused, blind, alone) = (node.refused, node.blind, node.alone);
-        *node = Node {
-            down: until,
-            refused,
-            blind,
-            alone,
-            ..Node::default()
+    fn fail_controller(&mut self, n: usize, until: f64) {
+        let controller = &mut self.controllers[n];
+        let (refused_until, watch_refused_until, partitioned_until) = (
+            controller.refused_until,
+            controller.watch_refused_until,
+            controller.partitioned_until,
+        );
+        *controller = Controller {
+            down_until: until,
+            refused_until,
+            watch_refused_until,
+            partitioned_until,
+            ..Controller::default()
         };
-        self.meet("controller ends");
+        self.record("controller failed");
     }
 
     fn cancel(&mut self) {
@@ -539,24 +589,24 @@
     }
 
     fn cancel_on(&mut self, on: impl Fn(&Machine) -> bool) {
-        if self.outage > self.now {
+        if self.outage_until > self.now {
             return;
         }
-        let runs: Vec<&str> = self
+        let running: Vec<&str> = self
             .machines
             .iter()
             .filter(|m| on(m))
             .flat_map(|m| m.worker.tasks.iter().filter(|t| t.is_running()))
             .filter_map(|t| Some(t.task.split_once('/')?.0))
-            .filter(|id| self.store.ended(id).is_none())
+            .filter(|id| self.store.final_state(id).is_none())
             .collect();
-        if runs.is_empty() {
+        if running.is_empty() {
             return;
         }
-        let id = runs[self.rng.random_range(0..runs.len())].to_string();
+        let id = running[self.rng.random_range(0..running.len())].to_string();
         self.store.cancel(&id);
         self.cancelled.insert(id, self.now);
-        self.meet("cancelled while it runs");
+        self.record("job cancelled while it runs");
     }
 
     fn check(&self) {
@@ -569,71 +619,88 @@
                 let most = worker_settings().cancel_s;
                 assert!(
                     since <= most,
-                    "{} on {} {since} s after",
+                    "{} runs on {} {since} s after its cancellation",
                     t.task,
                     m.worker.name
                 );
             }
         }
-        let twice: Vec<_> = on.iter().filter(|t| *t.1 > 1).collect();
-        assert!(twice.is_empty(), "ran twice at {}: {twice:?}", self.now);
-        assert!(on.len() <= TEAM_TASKS, "over the limit: {}", on.len());
+        let duplicated: Vec<_> = on.iter().filter(|t| *t.1 > 1).collect();
+        assert!(
+            duplicated.is_empty(),
+            "ran twice at {}: {duplicated:?}",
+            self.now
+        );
+        assert!(
+            on.len() <= TEAM_TASKS,
+            "over the team's quota: {}",
+            on.len()
+        );
     }
 
-    fn step(&mut self, troubled: bool) {
+    fn step(&mut self, with_faults: bool) {
         self.now += STEP_S;
         let now = self.now;
-        let due: Vec<_> = self.late_orders.extract_if(.., |o| o.0 <= now).collect();
-        for (_, name, orders) in due {
+        let due: Vec<_> = self.late_commands.extract_if(.., |o| o.0 <= now).collect();
+        for (_, name, commands) in due {
             let at = self.machines.iter().position(|m| m.worker.name == name);
             if let Some(at) = at {
-                let executed = self.obey(at, &orders);
-                self.meet(if executed {
-                    "late order executed"
+                let executed = self.execute_commands(at, &commands);
+                self.record(if executed {
+                    "late command executed"
                 } else {
-                    "late order fenced"
+                    "late command fenced"
                 });
             }
         }
-        let due: Vec<_> = self.unanswered.extract_if(.., |o| o.0 <= now).collect();
-        for (_, epoch, machine, orders) in due {
-            let leaders = self.nodes.iter_mut().filter_map(|n| n.leader.as_mut());
-            for l in leaders.filter(|l| l.term() == epoch) {
-                l.direct_commands_done(&machine, &orders, CommandOutcome::Unknown);
-            }
-        }
-        let due: Vec<_> = self.late_reports.extract_if(.., |r| r.0 <= now).collect();
-        due.iter().for_each(|(_, r)| self.copies(r));
-        if troubled && self.chance(0.03) {
-            self.trouble();
+        let due: Vec<_> = self
+            .awaited_commands
+            .extract_if(.., |o| o.0 <= now)
+            .collect();
+        for (_, term, machine, commands) in due {
+            let leaders = self
+                .controllers
+                .iter_mut()
+                .filter_map(|n| n.leader.as_mut());
+            for leader in leaders.filter(|leader| leader.term() == term) {
+                leader.direct_commands_done(&machine, &commands, CommandOutcome::Unknown);
+            }
+        }
+        let due: Vec<_> = self
+            .late_heartbeats
+            .extract_if(.., |r| r.0 <= now)
+            .collect();
+        due.iter().for_each(|(_, r)| self.deliver_to_all(r));
+        if with_faults && self.chance(0.03) {
+            self.inject_fault();
         }
         self.elect();
-        for n in 0..NODES {
-            if self.up(n) {
+        for n in 0..CONTROLLERS {
+            if self.is_up(n) {
                 self.renew(n);
                 self.lead(n);
             }
         }
         for at in 0..self.machines.len() {
-            self.live(at);
-            self.heartbeat(at, troubled);
+            self.advance_machine(at);
+            self.heartbeat(at, with_faults);
         }
         if ((now / STEP_S) as u64).is_multiple_of(4) {
-            self.hellos();
+            self.exchange_hellos();
         }
     }
 
-    /// A machine's time passes: tasks end, and its lease may.
-    fn live(&mut self, at: usize) {
+    /// Advances one machine: its lease may expire, and running tasks may complete.
+    fn advance_machine(&mut self, at: usize) {
         let m = &mut self.machines[at];
-        if self.now - m.leased > worker_settings().lease_s {
-            m.worker.session += 1;
+        if self.now - m.leased_at > worker_settings().lease_s {
+            m.worker.incarnation += 1;
             m.worker.tasks.clear();
-            m.leased = self.now;
-            *self.met.entry("lease ended").or_default() += 1;
+            m.leased_at = self.now;
+            *self.events.entry("lease expired").or_default() += 1;
         }
         for t in m.worker.tasks.iter_mut().filter(|t| t.is_running()) {
-            if self.rng.random_bool(self.ends) {
+            if self.rng.random_bool(self.completion_rate) {
                 t.exit = Some(ExitCause::Done);
             }
         }
@@ -645,119 +712,120 @@
         self.jobs.push(job);
     }
 
-    /// Troubles end; every job ends as it should, and nothing is counted for good.
+    /// Runs without further faults, then asserts that every job has its expected final state
+    /// and no placement remains.
     fn settle(&mut self, seed: u64) {
         for _ in 0..(200.0 / STEP_S) as u32 {
-            self.ends = 0.1;
+            self.completion_rate = 0.1;
             self.step(false);
         }
         for job in &self.jobs {
-            let ended = self.store.ended(&job.id);
+            let ended = self.store.final_state(&job.id);
             let expected = match self.cancelled.contains_key(&job.id) {
                 true => JobState::Cancelled,
                 false => JobState::Done,
             };
             assert_eq!(ended, Some(expected), "seed {seed}: {}", job.id);
         }
-        let leads = self.nodes.iter().find_map(|n| n.leader.as_ref());
+        let leads = self.controllers.iter().find_map(|n| n.leader.as_ref());
         assert!(leads.unwrap().placements_held().is_empty(), "seed {seed}");
     }
 }
 
-fn brought_about(met: &BTreeMap<&str, u32>, what: &[&str]) {
+fn assert_occurred(events: &BTreeMap<&str, u32>, what: &[&str]) {
     for what in what {
-        let n = met.get(what).copied().unwrap_or_default();
-        assert!(n >= 10, "{what}: {n} of {met:?}");
+        let n = events.get(what).copied().unwrap_or_default();
+        assert!(n >= 10, "{what}: {n} of {events:?}");
     }
 }
 
-/// Jobs are cancelled in the seconds in which machines go from controller to controller.
+/// Jobs are cancelled in the seconds in which machines move from one controller to another.
 #[test]
-fn work_cancelled_during_failovers_ends_in_time() {
-    let mut met: BTreeMap<&str, u32> = BTreeMap::new();
+fn jobs_cancelled_during_failovers_stop_within_cancel_s() {
+    let mut events: BTreeMap<&str, u32> = BTreeMap::new();
     for seed in 0..30 {
-        let mut w = World::new(seed, 0.004);
+        let mut world = World::new(seed, 0.004);
         for n in 0..600 {
             if n % 12 == 0 {
-                let tasks = w.rng.random_range(1..=3);
-                w.submit(tasks);
+                let tasks = world.rng.random_range(1..=3);
+                world.submit(tasks);
             }
-            w.step(true);
+            world.step(true);
         }
-        w.settle(seed);
-        for (what, n) in w.met {
-            *met.entry(what).or_default() += n;
+        world.settle(seed);
+        for (what, n) in world.events {
+            *events.entry(what).or_default() += n;
         }
     }
-    brought_about(
-        &met,
+    assert_occurred(
+        &events,
         &[
-            "leader begins",
-            "controller ends",
-            "blind leader gives up",
-            "zone cut off",
-            "mute or deaf machine",
-            "cancelled while it runs",
-            "stop sent straight to a machine",
-            "late order executed",
-            "late order fenced",
-            "old report at every controller",
-            "lease ended",
+            "leader elected",
+            "controller failed",
+            "leader without a view gives up its lease",
+            "zone partitioned",
+            "one-way partition of a machine",
+            "job cancelled while it runs",
+            "direct stop executed",
+            "late command executed",
+            "late command fenced",
+            "old heartbeat at every controller",
+            "lease expired",
         ],
     );
 }
 
-/// Jobs of one task come four a second for two minutes, a quarter of them cancelled: at
-/// once, between the ledger and the start, or while they run.
+/// Four jobs of one task are submitted per second for two minutes. A quarter of them are
+/// cancelled: at once, between the ledger write and the start, or while they run.
 #[test]
 fn many_single_task_jobs_with_a_quarter_cancelled_leave_nothing_running() {
     for seed in 0..4 {
-        let mut w = World::new(1000 + seed, 0.15);
+        let mut world = World::new(1000 + seed, 0.15);
         for n in 0..480usize {
-            w.submit(1);
+            world.submit(1);
             if n % 4 == 3 {
-                let back = w.rng.random_range(0..12).min(n);
-                let id = w.jobs[n - back].id.clone();
-                if w.store.ended(&id).is_none() {
-                    w.store.cancel(&id);
-                    w.cancelled.insert(id, w.now);
+                let back = world.rng.random_range(0..12).min(n);
+                let id = world.jobs[n - back].id.clone();
+                if world.store.final_state(&id).is_none() {
+                    world.store.cancel(&id);
+                    world.cancelled.insert(id, world.now);
                 }
             }
-            w.step(seed % 2 == 1);
+            world.step(seed % 2 == 1);
         }
-        assert!(w.cancelled.len() > 40, "{}", w.cancelled.len());
-        w.settle(seed);
+        assert!(world.cancelled.len() > 40, "{}", world.cancelled.len());
+        world.settle(seed);
     }
 }
 
 // --- one compound failure at a time ---
 
 impl World {
-    /// All is well, much runs, and this controller leads.
+    /// A world without faults in which several jobs run and this controller leads.
     fn led_by(seed: u64, leader: usize) -> World {
-        let mut w = World::new(seed, 0.004);
-        w.no_cloud = true;
-        for n in (0..NODES).filter(|n| *n != leader) {
-            w.end(n, 2.0);
+        let mut world = World::new(seed, 0.004);
+        world.is_deletion_disabled = true;
+        for n in (0..CONTROLLERS).filter(|n| *n != leader) {
+            world.fail_controller(n, 2.0);
         }
         for _ in 0..6 {
-            w.submit(2);
+            world.submit(2);
         }
-        w.run(12.0);
-        assert!(w.may_act(leader));
-        w
+        world.run(12.0);
+        assert!(world.may_act(leader));
+        world
     }
 
-    /// No trouble but those that were begun; for so many s.
-    fn run(&mut self, s: f64) {
-        for _ in 0..(s / STEP_S) as u32 {
+    /// Runs for `duration_s` without new faults; those already injected last as set.
+    fn run(&mut self, duration_s: f64) {
+        for _ in 0..(duration_s / STEP_S) as u32 {
             self.step(false);
         }
     }
 
-    /// A job is called off in each of so many s.
-    fn run_with_cancels(&mut self, s: u32) {
-        for n in 0..s {
+    /// Runs for `seconds`, submitting a job each second and cancelling one every other second.
+    fn run_with_cancels(&mut self, seconds: u32) {
+        for n in 0..seconds {
             if n % 2 == 0 {
                 self.cancel();
             }
@@ -767,52 +835,55 @@
     }
 }
 
-/// The leader may be in the zone or outside it.
+/// The leader is inside the partitioned zone or outside it, depending on the seed.
 #[test]
 fn a_zone_partitioned_for_longer_than_a_lease_breaks_no_rule() {
     for seed in 0..12 {
-        let mut w = World::led_by(seed, seed as usize % 2);
-        w.zone_cut = w.now + 45.0;
-        w.run_with_cancels(8);
-        w.run(40.0);
-        w.settle(seed);
-        assert!(w.cancelled.len() > 1);
+        let mut world = World::led_by(seed, seed as usize % 2);
+        world.zone_partitioned_until = world.now + 45.0;
+        world.run_with_cancels(8);
+        world.run(40.0);
+        world.settle(seed);
+        assert!(world.cancelled.len() > 1);
     }
 }
 
 #[test]
 fn a_leader_partitioned_from_the_others_stops_work_cancelled_by_its_successor_in_time() {
     for seed in 0..12 {
-        let mut w = World::led_by(seed, 0);
-        let until = w.now + 50.0;
-        (w.nodes[0].refused, w.nodes[0].alone) = (until, until);
-        w.machines.iter_mut().for_each(|m| m.node = 0);
-        w.run_with_cancels(12);
-        assert!((1..NODES).any(|n| w.may_act(n)), "another leads");
-        w.run(40.0);
-        w.settle(seed);
-        assert!(w.cancelled.len() > 1);
+        let mut world = World::led_by(seed, 0);
+        let until = world.now + 50.0;
+        (
+            world.controllers[0].refused_until,
+            world.controllers[0].partitioned_until,
+        ) = (until, until);
+        world.machines.iter_mut().for_each(|m| m.controller = 0);
+        world.run_with_cancels(12);
+        assert!((1..CONTROLLERS).any(|n| world.may_act(n)), "another leads");
+        world.run(40.0);
+        world.settle(seed);
+        assert!(world.cancelled.len() > 1);
     }
 }
 
-/// Controllers are replaced one after the other, or all end and one returns within a
-/// second, while jobs are cancelled.
+/// While jobs are cancelled, controllers fail one after the other, or all fail and one is back
+/// after 0.25, 1 or 12 s.
 #[test]
 fn repeated_controller_failovers_and_full_outages_break_no_rule() {
     for seed in 0..12u64 {
-        let mut w = World::led_by(seed, 0);
+        let mut world = World::led_by(seed, 0);
         for round in 0..3 {
-            for n in 0..NODES {
-                w.end(n, w.now + 0.5);
-                w.run_with_cancels(2);
+            for n in 0..CONTROLLERS {
+                world.fail_controller(n, world.now + 0.5);
+                world.run_with_cancels(2);
             }
             let back = [0.25, 1.0, 12.0][round];
-            let later = w.now + back + 8.0;
-            (0..NODES).for_each(|n| w.end(n, later));
-            w.nodes[seed as usize % NODES].down = w.now + back;
-            w.run_with_cancels(6);
+            let later = world.now + back + 8.0;
+            (0..CONTROLLERS).for_each(|n| world.fail_controller(n, later));
+            world.controllers[seed as usize % CONTROLLERS].down_until = world.now + back;
+            world.run_with_cancels(6);
         }
-        w.settle(seed);
-        assert!(w.cancelled.len() > 1);
+        world.settle(seed);
+        assert!(world.cancelled.len() > 1);
     }
 }
--- a/crates/control/tests/crossing_commands.rs
+++ b/crates/control/tests/crossing_commands.rs
@@ -24,13 +24,13 @@
 /// A machine that is up, and a job of one task in the ledger, not yet started.
 fn placed() -> (TestCluster, Worker) {
     let mut cluster = TestCluster::new();
-    let mut w = Worker::new("vm-1");
-    cluster.heartbeat(&mut w, "n1", 1.0);
+    let mut worker = Worker::new("vm-1");
+    cluster.heartbeat(&mut worker, "n1", 1.0);
     cluster.submit(&job("wk-000001", 1), 1.0);
     cluster.leader.place_pending(1.0);
     cluster.write_all();
     assert_eq!(cluster.leader.placements_held().len(), 1);
-    (cluster, w)
+    (cluster, worker)
 }
 
 /// A start was in a response to a heartbeat while a direct one of the same attempt was
@@ -38,23 +38,26 @@
 /// taken for never started, and the end of its job was followed by no stop.
 #[test]
 fn a_start_sent_in_a_response_counts_as_sent_although_the_direct_one_was_rejected() {
-    let (mut cluster, mut w) = placed();
+    let (mut cluster, mut worker) = placed();
     let (machine, direct) = order(&mut cluster.leader, 1.1).unwrap();
     // The worker moves to another controller, whose response has a newer token.
-    let r = w.report();
-    let token = cluster.leader.take_heartbeat("n2", &r, &[], 1.5).unwrap();
-    let answer = cluster.leader.heartbeat_commands(&r, 1.5);
+    let heartbeat = worker.next_heartbeat();
+    let token = cluster
+        .leader
+        .take_heartbeat("n2", &heartbeat, &[], 1.5)
+        .unwrap();
+    let answer = cluster.leader.heartbeat_commands(&heartbeat, 1.5);
     assert!(matches!(answer[..], [Command::Start { .. }]), "{answer:?}");
     // Its next heartbeat crosses that response; the direct start is rejected.
     cluster
         .leader
         .direct_commands_done(&machine, &direct, CommandOutcome::NotExecuted);
-    w.obey(token, &answer);
+    worker.execute_commands(token, &answer);
     assert!(order(&mut cluster.leader, 1.6).is_none(), "it was started");
     cluster.cancel("wk-000001");
     let crossing = Heartbeat {
         tasks: Vec::new(),
-        ..w.report()
+        ..worker.next_heartbeat()
     };
     cluster
         .leader
@@ -71,8 +74,8 @@
 #[test]
 fn the_outcome_of_one_direct_command_does_not_settle_another_of_the_same_attempt() {
     let mut cluster = TestCluster::new();
-    let mut w = Worker::new("vm-1");
-    cluster.heartbeat(&mut w, "n1", 1.0);
+    let mut worker = Worker::new("vm-1");
+    cluster.heartbeat(&mut worker, "n1", 1.0);
     cluster.submit(&job("wk-000001", 2), 1.0);
     cluster.leader.place_pending(1.0);
     cluster.write_all();
@@ -83,18 +86,21 @@
         ..both.clone()
     });
     // The second is executed, exits at once and is reported; the first is held up.
-    w.obey(second.fencing_token, &second.commands);
+    worker.execute_commands(second.fencing_token, &second.commands);
     cluster
         .leader
         .direct_commands_done(&machine, &second, CommandOutcome::Executed);
-    w.tasks[0].exit = Some(ExitCause::Done);
+    worker.tasks[0].exit = Some(ExitCause::Done);
     cluster.cancel("wk-000001");
     for n in 0..6 {
-        let r = w.report();
+        let heartbeat = worker.next_heartbeat();
         let now = 2.0 + f64::from(n);
-        let token = cluster.leader.take_heartbeat("n1", &r, &[], now).unwrap();
-        let answer = cluster.leader.heartbeat_commands(&r, now);
-        w.obey(token, &answer);
+        let token = cluster
+            .leader
+            .take_heartbeat("n1", &heartbeat, &[], now)
+            .unwrap();
+        let answer = cluster.leader.heartbeat_commands(&heartbeat, now);
+        worker.execute_commands(token, &answer);
     }
     assert_eq!(
         cluster.leader.placements_held().len(),
@@ -106,9 +112,11 @@
         .leader
         .direct_commands_done(&machine, &first, CommandOutcome::Unknown);
     for n in 0..3 {
-        cluster.heartbeat(&mut w, "n1", 9.0 + f64::from(n));
+        cluster.heartbeat(&mut worker, "n1", 9.0 + f64::from(n));
     }
-    assert!(w.token > first.fencing_token && cluster.leader.placements_held().is_empty());
+    assert!(
+        worker.fencing_token > first.fencing_token && cluster.leader.placements_held().is_empty()
+    );
     cluster.leader.audit().unwrap();
 }
 
@@ -123,7 +131,7 @@
     ] {
         for late in [false, true] {
             for cancel_first in [false, true] {
-                let (mut cluster, mut w) = placed();
+                let (mut cluster, mut worker) = placed();
                 if cancel_first {
                     cluster.cancel("wk-000001");
                 }
@@ -136,26 +144,26 @@
                     || outcome == CommandOutcome::Unknown && !late;
                 if let Some((machine, orders)) = &direct {
                     if reaches {
-                        w.obey(orders.fencing_token, &orders.commands);
+                        worker.execute_commands(orders.fencing_token, &orders.commands);
                     }
                     cluster
                         .leader
                         .direct_commands_done(machine, orders, outcome);
                 }
                 for n in 0..4 {
-                    cluster.heartbeat(&mut w, "n1", 2.0 + f64::from(n));
+                    cluster.heartbeat(&mut worker, "n1", 2.0 + f64::from(n));
                 }
                 if let Some((_, orders)) = &direct
                     && outcome == CommandOutcome::Unknown
                 {
                     assert!(
-                        w.token > orders.fencing_token,
+                        worker.fencing_token > orders.fencing_token,
                         "what may come late is fenced"
                     );
                 }
                 let case = (outcome, late, cancel_first);
                 assert_eq!(
-                    (w.running(), cluster.leader.placements_held().len()),
+                    (worker.running(), cluster.leader.placements_held().len()),
                     (0, 0),
                     "{case:?}"
                 );
@@ -171,16 +179,16 @@
 fn work_of_an_ended_job_is_stopped_whatever_incarnation_it_was_placed_in() {
     let mut cluster = TestCluster::new();
     let mut former = Worker::new("vm-1");
-    former.session = 5;
+    former.incarnation = 5;
     cluster.heartbeat(&mut former, "n1", 1.0);
-    let copy = former.report();
+    let copy = former.next_heartbeat();
     // The worker restarted, and a job runs there.
     cluster.fail_over(2, 10.0);
-    let mut w = Worker::new("vm-1");
+    let mut worker = Worker::new("vm-1");
     cluster.submit(&job("wk-000001", 1), 10.0);
-    cluster.heartbeat(&mut w, "n1", 11.0);
-    cluster.heartbeat(&mut w, "n1", 12.0);
-    assert_eq!(w.running(), 1);
+    cluster.heartbeat(&mut worker, "n1", 11.0);
+    cluster.heartbeat(&mut worker, "n1", 12.0);
+    assert_eq!(worker.running(), 1);
     cluster.store.cancel("wk-000001");
     // The next leader hears the copy first.
     cluster.fail_over(3, 20.0);
@@ -203,28 +211,28 @@
 fn a_heartbeat_from_before_a_worker_restart_in_the_same_term_frees_nothing() {
     let mut cluster = TestCluster::new();
     let mut former = Worker::new("vm-1");
-    former.session = 5;
+    former.incarnation = 5;
     cluster.heartbeat(&mut former, "n1", 1.0);
     cluster.heartbeat(&mut former, "n1", 2.0);
-    let copy = former.report();
+    let copy = former.next_heartbeat();
     assert!(copy.fencing_token > 0);
     // As far as the ledger tells this is the same leader, which took the machine back in
     // incarnation 1: another one with its term and its entries.
-    let mut w = Worker::new("vm-1");
+    let mut worker = Worker::new("vm-1");
     cluster.fail_over(1, 3.0);
     for _ in 0..5 {
-        let other = Worker::new("vm-9").report();
+        let other = Worker::new("vm-9").next_heartbeat();
         cluster.leader.take_heartbeat("n9", &other, &[], 3.0);
         cluster.heartbeat(&mut Worker::new("vm-8"), "n1", 3.0);
     }
     for n in 0..4 {
         // Many moves use up tokens, so that later attempts have higher numbers.
-        cluster.heartbeat(&mut w, ["n1", "n2"][n % 2], 4.0 + n as f64);
+        cluster.heartbeat(&mut worker, ["n1", "n2"][n % 2], 4.0 + n as f64);
     }
     cluster.submit(&job("wk-000001", 8), 9.0);
-    cluster.heartbeat(&mut w, "n2", 9.0);
-    cluster.heartbeat(&mut w, "n2", 10.0);
-    let running = w.running();
+    cluster.heartbeat(&mut worker, "n2", 9.0);
+    cluster.heartbeat(&mut worker, "n2", 10.0);
+    let running = worker.running();
     assert!(running > 0);
     let mut next = cluster.store.elect(2, 20.0);
     next.take_heartbeat("n1", &copy, &[], 21.0);
@@ -241,31 +249,32 @@
 #[test]
 fn a_late_command_of_a_deposed_leader_is_fenced_or_runs_the_recovered_placement() {
     for heard in [false, true] {
-        let (mut cluster, mut w) = placed();
+        let (mut cluster, mut worker) = placed();
         let (_, held_up) = order(&mut cluster.leader, 1.1).unwrap();
         cluster.fail_over(2, 3.0);
         let mut other = Worker::new("vm-2");
         if heard {
-            cluster.heartbeat(&mut w, "n2", 4.0);
+            cluster.heartbeat(&mut worker, "n2", 4.0);
         }
-        let arrives = held_up.fencing_token >= w.token && held_up.incarnation == w.session;
+        let arrives = held_up.fencing_token >= worker.fencing_token
+            && held_up.incarnation == worker.incarnation;
         assert_ne!(arrives, heard, "fenced once the new token was seen");
         if arrives {
-            w.obey(held_up.fencing_token, &held_up.commands);
+            worker.execute_commands(held_up.fencing_token, &held_up.commands);
         }
         for n in 5..9 {
             let now = f64::from(n);
             cluster.heartbeat(&mut other, "n1", now);
-            cluster.heartbeat(&mut w, "n2", now);
-            assert!(w.running() + other.running() <= 1, "at {now}");
+            cluster.heartbeat(&mut worker, "n2", now);
+            assert!(worker.running() + other.running() <= 1, "at {now}");
         }
-        assert_eq!(w.running() + other.running(), 1);
+        assert_eq!(worker.running() + other.running(), 1);
         cluster.cancel("wk-000001");
         for now in [9.0, 10.0] {
             cluster.heartbeat(&mut other, "n1", now);
-            cluster.heartbeat(&mut w, "n2", now);
+            cluster.heartbeat(&mut worker, "n2", now);
         }
-        assert_eq!(w.running() + other.running(), 0);
+        assert_eq!(worker.running() + other.running(), 0);
         assert!(cluster.leader.placements_held().is_empty());
         cluster.leader.audit().unwrap();
     }
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -1,5 +1,5 @@
-//! The leader against a scripted state service and scripted workers. Time is
-//! a number; nothing sleeps.
+//! The leader with an in-memory key-value store and scripted workers: placement, completion,
+//! cancellation, failover, machine deletion and commands in doubt.
 
 mod common;
 
@@ -12,29 +12,29 @@
 use common::*;
 
 #[test]
-fn an_array_runs_to_done_and_its_tasks_are_forgotten_only_when_durable() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 2), 0.0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 1.0);
-    assert_eq!(w.running(), 2);
-    w.tasks[0].exit = Some(ExitCause::Done);
-    // The report is taken but nothing has been written yet: no forget.
-    let r = w.report();
-    let token = l.take_heartbeat("n1", &r, &[], 2.0).unwrap();
-    let early = l.heartbeat_commands(&r, 3.0);
+fn tasks_of_a_done_array_are_forgotten_only_after_their_completion_is_written() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 2), 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 1.0);
+    assert_eq!(worker.running(), 2);
+    worker.tasks[0].exit = Some(ExitCause::Done);
+    // The heartbeat is taken but nothing has been written yet, so no forget is sent.
+    let heartbeat = worker.next_heartbeat();
+    let token = leader.take_heartbeat("n1", &heartbeat, &[], 2.0).unwrap();
+    let early = leader.heartbeat_commands(&heartbeat, 3.0);
     assert!(
         !early.iter().any(|c| matches!(c, Command::Forget { .. })),
         "{early:?}"
     );
-    write_all(&mut l, &mut s);
-    w.obey(token, &l.heartbeat_commands(&r, 3.0));
-    assert_eq!(w.tasks.len(), 1);
-    w.tasks[0].exit = Some(ExitCause::Done);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 3.0);
-    assert!(w.tasks.is_empty());
-    assert_eq!(s.revision_of(&keys::job("wk-000001")), 0);
-    match &s.records[&keys::ended("wk-000001")].0 {
+    write_all(&mut leader, &mut store);
+    worker.execute_commands(token, &leader.heartbeat_commands(&heartbeat, 3.0));
+    assert_eq!(worker.tasks.len(), 1);
+    worker.tasks[0].exit = Some(ExitCause::Done);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 3.0);
+    assert!(worker.tasks.is_empty());
+    assert_eq!(store.revision_of(&keys::job("wk-000001")), 0);
+    match &store.records[&keys::ended("wk-000001")].0 {
         StoredRecord::FinalState(f) => assert_eq!(f.state, JobState::Done),
         other => panic!("{other:?}"),
     }
@@ -42,325 +42,343 @@
 
 #[test]
 fn nothing_starts_before_its_placement_is_written() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 0.0);
-    let r = w.report();
-    l.take_heartbeat("n1", &r, &[], 1.0).unwrap();
-    l.place_pending(1.0);
-    assert!(l.heartbeat_commands(&r, 3.0).is_empty());
-    let batch = l.ledger_batch().unwrap();
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 0.0);
+    let heartbeat = worker.next_heartbeat();
+    leader.take_heartbeat("n1", &heartbeat, &[], 1.0).unwrap();
+    leader.place_pending(1.0);
+    assert!(leader.heartbeat_commands(&heartbeat, 3.0).is_empty());
+    let batch = leader.ledger_batch().unwrap();
     assert!(
-        l.heartbeat_commands(&r, 3.0).is_empty(),
-        "the write has no answer yet"
+        leader.heartbeat_commands(&heartbeat, 3.0).is_empty(),
+        "the write has no response yet"
     );
-    let outcome = s.apply(&batch.txn);
-    l.ledger_batch_done(batch, &outcome);
-    assert_eq!(l.heartbeat_commands(&r, 3.0).len(), 1);
+    let outcome = store.apply(&batch.txn);
+    leader.ledger_batch_done(batch, &outcome);
+    assert_eq!(leader.heartbeat_commands(&heartbeat, 3.0).len(), 1);
 }
 
 #[test]
 fn a_late_transaction_of_a_deposed_leader_fails() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut old = s.elect(1, 0.0);
-    submit(&mut old, &mut s, &job("wk-000001", 1), 0.0);
-    let r = w.report();
-    old.take_heartbeat("n1", &r, &[], 1.0);
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut old = store.elect(1, 0.0);
+    submit(&mut old, &mut store, &job("wk-000001", 1), 0.0);
+    let heartbeat = worker.next_heartbeat();
+    old.take_heartbeat("n1", &heartbeat, &[], 1.0);
     old.place_pending(1.0);
     let late = old.ledger_batch().unwrap();
-    let _new = s.elect(2, 5.0);
-    let outcome = s.apply(&late.txn);
+    let _new = store.elect(2, 5.0);
+    let outcome = store.apply(&late.txn);
     assert!(matches!(&outcome, WriteOutcome::Conflict(k) if k.contains(&keys::LEADER.to_string())));
     old.ledger_batch_done(late, &outcome);
     assert!(old.deposed);
 }
 
-/// An entry is a key of its own: one that is applied after it was read as
-/// missing repeats placements, and can't hide any.
+/// Each ledger entry has a key of its own, so an entry that is applied after it was read as
+/// missing repeats placements and can't hide any.
 #[test]
-fn a_late_entry_of_the_same_leader_hides_nothing() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 0.0);
-    let r = w.report();
-    l.take_heartbeat("n1", &r, &[], 1.0);
-    l.place_pending(1.0);
-    let lost = l.ledger_batch().unwrap();
+fn a_late_ledger_entry_of_the_same_leader_hides_no_placement() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 0.0);
+    let heartbeat = worker.next_heartbeat();
+    leader.take_heartbeat("n1", &heartbeat, &[], 1.0);
+    leader.place_pending(1.0);
+    let lost = leader.ledger_batch().unwrap();
     let late = lost.txn.clone();
-    l.ledger_batch_done(lost, &WriteOutcome::Unknown);
-    reread(&mut l, &s);
-    write_all(&mut l, &mut s);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 2.0);
-    assert_eq!(w.running(), 1);
-    assert!(matches!(s.apply(&late), WriteOutcome::Applied(_)));
-    let mut next = s.elect(2, 3.0);
-    assert_eq!(next.placements_held(), l.placements_held());
+    leader.ledger_batch_done(lost, &WriteOutcome::Unknown);
+    reread(&mut leader, &store);
+    write_all(&mut leader, &mut store);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 2.0);
+    assert_eq!(worker.running(), 1);
+    assert!(matches!(store.apply(&late), WriteOutcome::Applied(_)));
+    let mut next = store.elect(2, 3.0);
+    assert_eq!(next.placements_held(), leader.placements_held());
     let mut o = Worker::new("vm-2");
-    heartbeat(&mut next, &mut s, &mut o, "n2", 4.0);
-    heartbeat(&mut next, &mut s, &mut w, "n2", 5.0);
-    heartbeat(&mut next, &mut s, &mut o, "n2", 6.0);
-    assert_eq!((w.running(), o.running()), (1, 0));
+    exchange_heartbeat(&mut next, &mut store, &mut o, "n2", 4.0);
+    exchange_heartbeat(&mut next, &mut store, &mut worker, "n2", 5.0);
+    exchange_heartbeat(&mut next, &mut store, &mut o, "n2", 6.0);
+    assert_eq!((worker.running(), o.running()), (1, 0));
 }
 
 #[test]
-fn a_cancel_that_got_in_first_stops_the_placement() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 0.0);
-    submit(&mut l, &mut s, &job("wk-000002", 1), 0.0);
-    s.cancel("wk-000001");
-    heartbeat(&mut l, &mut s, &mut w, "n1", 1.0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 2.0);
-    let ids: Vec<&str> = w.tasks.iter().map(|t| t.task.as_str()).collect();
+fn a_job_cancelled_before_its_placement_is_written_does_not_start() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 0.0);
+    submit(&mut leader, &mut store, &job("wk-000002", 1), 0.0);
+    store.cancel("wk-000001");
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 1.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 2.0);
+    let ids: Vec<&str> = worker.tasks.iter().map(|t| t.task.as_str()).collect();
     assert_eq!(ids, ["wk-000002/0"]);
 }
 
 #[test]
-fn a_cancelled_job_is_stopped_by_the_next_answer() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 2), 0.0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 1.0);
-    s.cancel("wk-000001");
-    l.remove_job("wk-000001");
-    heartbeat(&mut l, &mut s, &mut w, "n1", 2.0);
-    assert_eq!(w.running(), 0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 3.0);
-    assert!(w.tasks.is_empty());
+fn a_cancelled_job_is_stopped_by_the_next_response() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 2), 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 1.0);
+    store.cancel("wk-000001");
+    leader.remove_job("wk-000001");
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 2.0);
+    assert_eq!(worker.running(), 0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 3.0);
+    assert!(worker.tasks.is_empty());
 }
 
 #[test]
-fn a_takeover_starts_nothing_twice_while_a_machine_is_silent() {
-    let (mut s, mut silent, mut w) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 2), 0.0);
-    heartbeat(&mut l, &mut s, &mut silent, "n1", 1.0);
+fn after_a_failover_tasks_of_a_silent_machine_start_elsewhere_only_after_its_leases() {
+    let (mut store, mut silent, mut worker) =
+        (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 2), 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut silent, "n1", 1.0);
     assert_eq!(silent.running(), 2);
-    let mut l = s.elect(2, 5.0);
-    let bound = 5.0 + l.timing.shard_lease_bound_s() + l.timing.tasks_gone_after_s();
+    let mut leader = store.elect(2, 5.0);
+    let bound = 5.0 + leader.timing.shard_lease_bound_s() + leader.timing.tasks_gone_after_s();
     let mut now = 5.5;
     while now < bound - 1.0 {
-        heartbeat(&mut l, &mut s, &mut w, "n2", now);
-        l.autoscale(now);
-        assert_eq!(w.running(), 0, "at {now}");
+        exchange_heartbeat(&mut leader, &mut store, &mut worker, "n2", now);
+        leader.autoscale(now);
+        assert_eq!(worker.running(), 0, "at {now}");
         now += 1.0;
     }
-    // Every grant and lease is over: the tasks are gone and start elsewhere.
-    l.autoscale(bound + 1.0);
+    // Every shard lease and worker lease has expired: the tasks are gone and start elsewhere.
+    leader.autoscale(bound + 1.0);
     let mut fresh = Worker::new("vm-3");
-    heartbeat(&mut l, &mut s, &mut fresh, "n2", bound + 1.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut fresh, "n2", bound + 1.0);
     assert_eq!(fresh.running(), 2);
 }
 
 #[test]
-fn a_deletion_answered_by_the_cloud_frees_at_once() {
-    let (mut s, mut dead, mut w) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 2), 0.0);
-    heartbeat(&mut l, &mut s, &mut dead, "n1", 1.0);
+fn tasks_of_a_silent_machine_start_elsewhere_once_its_deletion_is_confirmed() {
+    let (mut store, mut dead, mut worker) =
+        (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 2), 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut dead, "n1", 1.0);
     for now in 2..15 {
-        heartbeat(&mut l, &mut s, &mut w, "n1", f64::from(now));
+        exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", f64::from(now));
     }
-    let calls = l.autoscale(15.0);
+    let calls = leader.autoscale(15.0);
     let Some(CloudCall::Delete(names)) = calls.first() else {
         panic!("{calls:?}")
     };
     assert!(names.contains(&"vm-1".to_string()));
-    assert_eq!(w.running(), 0);
-    l.machines_deleted(&["vm-1".into()], 15.5);
-    // vm-2 was idle for long and is on its way out.
+    assert_eq!(worker.running(), 0);
+    leader.machines_deleted(&["vm-1".into()], 15.5);
+    // vm-2 was idle for long and is being returned, so it takes no tasks.
     let mut fresh = Worker::new("vm-3");
-    heartbeat(&mut l, &mut s, &mut fresh, "n1", 16.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut fresh, "n1", 16.0);
     assert_eq!(fresh.running(), 2);
-    // A report sent before the machine was deleted changes nothing.
-    assert!(!heartbeat(&mut l, &mut s, &mut dead, "n1", 17.0));
+    // A heartbeat sent before the machine was deleted changes nothing.
+    assert!(!exchange_heartbeat(
+        &mut leader,
+        &mut store,
+        &mut dead,
+        "n1",
+        17.0
+    ));
 }
 
-/// A row that an earlier leader freed only in memory names the task beside a
-/// newer row on another machine (the ledger as it was before it became a log,
-/// or an entry that came late). Freeing the stale row once queued the task
-/// although it was running elsewhere (found by a hunt, both sites).
+/// A ledger row that an earlier leader freed only in memory names the task beside a newer row
+/// on another machine (as in the ledger format before it became a log, or with an entry that
+/// is applied late). If freeing the stale row queued the task, it would run twice.
 #[test]
-fn a_stale_row_does_not_start_a_task_that_another_row_holds() {
-    let (mut s, mut a, mut b) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 0.0);
-    heartbeat(&mut l, &mut s, &mut a, "n1", 1.0);
-    let stale: Vec<_> = s
+fn freeing_a_stale_ledger_row_does_not_start_a_task_that_another_row_holds() {
+    let (mut store, mut a, mut b) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 1.0);
+    let stale: Vec<_> = store
         .records
         .iter()
         .filter(|(k, _)| k.starts_with(keys::LEDGER))
         .map(|(k, v)| (k.clone(), v.0.clone()))
         .collect();
-    a.session = 2;
+    a.incarnation = 2;
     a.tasks.clear();
-    // vm-1 lost its session and is about to be taken: the task goes to vm-2,
-    // but vm-1's row stays as it was written.
-    let mut r = a.report();
-    r.spot_notice_s = Some(100.0);
-    l.take_heartbeat("n1", &r, &[], 2.0);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 2.1);
+    // vm-1 has a new incarnation and a spot notice: the task goes to vm-2, but vm-1's row
+    // stays as it was written.
+    let mut heartbeat = a.next_heartbeat();
+    heartbeat.spot_notice_s = Some(100.0);
+    leader.take_heartbeat("n1", &heartbeat, &[], 2.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 2.1);
     assert_eq!(b.running(), 1);
     for (key, value) in stale {
-        s.put(&key, value);
+        store.put(&key, value);
     }
-    for (value, _) in s.records.values_mut() {
+    for (value, _) in store.records.values_mut() {
         if let StoredRecord::PlacementLog(entry) = value {
             entry.freed.clear();
         }
     }
-    let mut l = s.elect(2, 5.0);
-    assert_eq!(l.placements_held().len(), 2);
+    let mut leader = store.elect(2, 5.0);
+    assert_eq!(leader.placements_held().len(), 2);
     for now in 6..10 {
-        heartbeat(&mut l, &mut s, &mut a, "n2", f64::from(now));
+        exchange_heartbeat(&mut leader, &mut store, &mut a, "n2", f64::from(now));
         assert_eq!(a.running(), 0);
     }
-    heartbeat(&mut l, &mut s, &mut b, "n2", 10.0);
-    heartbeat(&mut l, &mut s, &mut b, "n2", 11.0);
-    heartbeat(&mut l, &mut s, &mut a, "n2", 12.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n2", 10.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n2", 11.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n2", 12.0);
     assert_eq!((a.running(), b.running()), (0, 1));
 }
 
 #[test]
-fn absence_counts_only_from_a_worker_that_has_seen_the_new_token() {
-    let (mut s, mut w, mut o) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 0.0);
-    // The old leader's start is on its way when it dies.
-    let r = w.report();
-    l.take_heartbeat("n1", &r, &[], 1.0).unwrap();
-    l.place_pending(1.0);
-    write_all(&mut l, &mut s);
+fn a_task_missing_from_a_heartbeat_is_gone_only_if_the_worker_has_seen_the_new_token() {
+    let (mut store, mut worker, mut o) =
+        (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 0.0);
+    // The old leader fails while its start is in transit.
+    let heartbeat = worker.next_heartbeat();
+    leader.take_heartbeat("n1", &heartbeat, &[], 1.0).unwrap();
+    leader.place_pending(1.0);
+    write_all(&mut leader, &mut store);
     let (token, on_its_way) = (
-        l.extend_shard("n1", 1.0)[0].1,
-        l.heartbeat_commands(&r, 3.0),
+        leader.extend_shard("n1", 1.0)[0].1,
+        leader.heartbeat_commands(&heartbeat, 3.0),
     );
-    let mut l = s.elect(2, 5.0);
-    let r = w.report();
-    let new_token = l.take_heartbeat("n2", &r, &[], 6.0).unwrap();
+    let mut leader = store.elect(2, 5.0);
+    let heartbeat = worker.next_heartbeat();
+    let new_token = leader.take_heartbeat("n2", &heartbeat, &[], 6.0).unwrap();
     assert!(new_token > token);
-    heartbeat(&mut l, &mut s, &mut o, "n2", 6.1);
-    assert_eq!(o.running(), 0, "the old start may still land");
-    w.obey(new_token, &l.heartbeat_commands(&r, 3.0));
-    w.obey(token, &on_its_way);
-    assert_eq!(w.running(), 0, "fenced");
-    heartbeat(&mut l, &mut s, &mut w, "n2", 7.0);
-    assert_eq!(w.running() + o.running(), 1);
+    exchange_heartbeat(&mut leader, &mut store, &mut o, "n2", 6.1);
+    assert_eq!(o.running(), 0, "the old start may still arrive");
+    worker.execute_commands(new_token, &leader.heartbeat_commands(&heartbeat, 3.0));
+    worker.execute_commands(token, &on_its_way);
+    assert_eq!(worker.running(), 0, "fenced");
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n2", 7.0);
+    assert_eq!(worker.running() + o.running(), 1);
 }
 
 #[test]
-fn a_stale_report_is_ignored() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 0.0);
-    let old = w.report();
-    heartbeat(&mut l, &mut s, &mut w, "n1", 1.0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 2.0);
-    assert_eq!(l.take_heartbeat("n2", &old, &[], 3.0), None);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 4.0);
-    assert_eq!(w.running(), 1);
+fn a_stale_heartbeat_gets_no_response_and_changes_nothing() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 0.0);
+    let old = worker.next_heartbeat();
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 1.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 2.0);
+    assert_eq!(leader.take_heartbeat("n2", &old, &[], 3.0), None);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 4.0);
+    assert_eq!(worker.running(), 1);
 }
 
 #[test]
-fn a_lost_answer_is_repeated_but_never_after_a_forget() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 0.0);
-    // The first answer is lost on its way to the worker.
-    let r = w.report();
-    l.take_heartbeat("n1", &r, &[], 1.0);
-    l.place_pending(1.0);
-    write_all(&mut l, &mut s);
-    let first = l.heartbeat_commands(&r, 3.0);
-    assert_eq!(l.heartbeat_commands(&r, 3.0), vec![], "once an answer");
-    let r = w.report();
-    let token = l.take_heartbeat("n1", &r, &[], 2.0).unwrap();
-    assert_eq!(l.heartbeat_commands(&r, 3.0), first);
-    w.obey(token, &first);
-    w.tasks[0].exit = Some(ExitCause::Error);
-    let r = w.report();
-    let token = l.take_heartbeat("n1", &r, &[], 3.0).unwrap();
-    let commands = l.heartbeat_commands(&r, 3.0);
+fn a_start_lost_with_its_response_is_repeated_but_never_after_its_forget() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 0.0);
+    // The first response is lost on its way to the worker.
+    let heartbeat = worker.next_heartbeat();
+    leader.take_heartbeat("n1", &heartbeat, &[], 1.0);
+    leader.place_pending(1.0);
+    write_all(&mut leader, &mut store);
+    let first = leader.heartbeat_commands(&heartbeat, 3.0);
+    assert_eq!(
+        leader.heartbeat_commands(&heartbeat, 3.0),
+        vec![],
+        "one response carries each start once"
+    );
+    let heartbeat = worker.next_heartbeat();
+    let token = leader.take_heartbeat("n1", &heartbeat, &[], 2.0).unwrap();
+    assert_eq!(leader.heartbeat_commands(&heartbeat, 3.0), first);
+    worker.execute_commands(token, &first);
+    worker.tasks[0].exit = Some(ExitCause::Error);
+    let heartbeat = worker.next_heartbeat();
+    let token = leader.take_heartbeat("n1", &heartbeat, &[], 3.0).unwrap();
+    let commands = leader.heartbeat_commands(&heartbeat, 3.0);
     assert!(matches!(commands[0], Command::Forget { .. }));
-    w.obey(token, &commands);
+    worker.execute_commands(token, &commands);
     let Command::Start { attempt: used, .. } = &first[0] else {
         panic!()
     };
     for now in 4..20 {
-        heartbeat(&mut l, &mut s, &mut w, "n1", f64::from(now));
-        assert!(w.tasks.iter().all(|t| t.attempt != *used));
+        exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", f64::from(now));
+        assert!(worker.tasks.iter().all(|t| t.attempt != *used));
     }
 }
 
 #[test]
-fn a_worker_whose_holder_died_is_granted_to_the_next() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 0.0);
-    heartbeat(&mut l, &mut s, &mut w, "n2", 1.0);
-    let before = w.token;
-    assert!(heartbeat(&mut l, &mut s, &mut w, "n3", 2.0));
-    assert!(w.token > before, "the old holder is fenced");
-    heartbeat(&mut l, &mut s, &mut w, "n3", 3.0);
-    assert_eq!(w.running(), 1);
-    assert!(l.extend_shard("n2", 3.0).is_empty());
-    assert_eq!(l.extend_shard("n3", 3.0).len(), 1);
+fn a_worker_whose_shard_owner_failed_is_granted_to_the_next_owner() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n2", 1.0);
+    let before = worker.fencing_token;
+    assert!(exchange_heartbeat(
+        &mut leader,
+        &mut store,
+        &mut worker,
+        "n3",
+        2.0
+    ));
+    assert!(worker.fencing_token > before, "the old owner is fenced");
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n3", 3.0);
+    assert_eq!(worker.running(), 1);
+    assert!(leader.extend_shard("n2", 3.0).is_empty());
+    assert_eq!(leader.extend_shard("n3", 3.0).len(), 1);
 }
 
 #[test]
-fn a_block_drops_machines_that_are_silent() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    heartbeat(&mut l, &mut s, &mut w, "n2", 1.0);
-    assert_eq!(l.extend_shard("n2", 3.0).len(), 1);
+fn the_shard_lease_of_a_silent_machine_is_not_extended() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n2", 1.0);
+    assert_eq!(leader.extend_shard("n2", 3.0).len(), 1);
     assert!(
-        l.extend_shard("n2", 4.0).is_empty(),
-        "so that its grants run dry"
+        leader.extend_shard("n2", 4.0).is_empty(),
+        "so that its shard leases expire"
     );
 }
 
 #[test]
-fn the_team_limit_counts_tasks_on_unheard_machines() {
-    let mut s = Store::default();
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 30), 0.0);
+fn tasks_on_machines_not_heard_from_since_a_failover_count_towards_the_team_quota() {
+    let mut store = Store::default();
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 30), 0.0);
     let (mut a, mut b, mut c) = (
         Worker::new("vm-1"),
         Worker::new("vm-2"),
         Worker::new("vm-3"),
     );
-    heartbeat(&mut l, &mut s, &mut a, "n1", 1.0);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 1.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 1.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 1.0);
     assert_eq!((a.running(), b.running()), (4, 4));
-    let mut l = s.elect(2, 5.0);
-    heartbeat(&mut l, &mut s, &mut c, "n2", 6.0);
-    heartbeat(&mut l, &mut s, &mut c, "n2", 7.0);
+    let mut leader = store.elect(2, 5.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut c, "n2", 6.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut c, "n2", 7.0);
     assert_eq!(
         c.running(),
         0,
         "16 CPUs may be in use on machines not heard from"
     );
     b.tasks[0].exit = Some(ExitCause::Done);
-    heartbeat(&mut l, &mut s, &mut b, "n2", 8.0);
-    heartbeat(&mut l, &mut s, &mut c, "n2", 9.0);
-    heartbeat(&mut l, &mut s, &mut b, "n2", 9.1);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n2", 8.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut c, "n2", 9.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n2", 9.1);
     assert_eq!(b.running() + c.running(), 4);
 }
 
 #[test]
-fn zones_types_and_kinds_are_kept() {
-    let mut s = Store::default();
-    let mut l = s.elect(1, 0.0);
+fn zone_machine_type_and_spot_constraints_are_respected() {
+    let mut store = Store::default();
+    let mut leader = store.elect(1, 0.0);
     let (mut a, mut b) = (Worker::new("vm-1"), Worker::new("vm-2"));
     b.zone = "b".into();
     let spread = Submission {
         spread_over_zones: true,
         ..job("wk-000001", 3)
     };
-    submit(&mut l, &mut s, &spread, 0.0);
-    heartbeat(&mut l, &mut s, &mut a, "n1", 1.0);
+    submit(&mut leader, &mut store, &spread, 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 1.0);
     assert_eq!(a.running(), 2, "two of three in one zone, no more");
-    heartbeat(&mut l, &mut s, &mut b, "n1", 1.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 1.0);
     assert_eq!(b.running(), 1);
     for (n, j) in [
         Submission {
@@ -379,44 +397,44 @@
     .iter()
     .enumerate()
     {
-        submit(&mut l, &mut s, j, 2.0);
-        heartbeat(&mut l, &mut s, &mut a, "n1", 3.0 + n as f64);
-        heartbeat(&mut l, &mut s, &mut b, "n1", 3.0 + n as f64);
+        submit(&mut leader, &mut store, j, 2.0);
+        exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 3.0 + n as f64);
+        exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 3.0 + n as f64);
         assert_eq!(a.running() + b.running(), 3, "{}", j.id);
     }
     let one_zone = Submission {
         single_zone: true,
         ..job("wk-000005", 4)
     };
-    submit(&mut l, &mut s, &one_zone, 8.0);
-    heartbeat(&mut l, &mut s, &mut a, "n1", 9.0);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 9.0);
-    let there = |w: &Worker| w.tasks.iter().any(|t| t.task.starts_with("wk-000005"));
-    assert!(there(&a) != there(&b));
+    submit(&mut leader, &mut store, &one_zone, 8.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 9.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 9.0);
+    let has_task = |worker: &Worker| worker.tasks.iter().any(|t| t.task.starts_with("wk-000005"));
+    assert!(has_task(&a) != has_task(&b));
 }
 
 #[test]
-fn done_is_counted_once_and_a_cancel_that_was_first_stands() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 0.0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 1.0);
-    w.tasks[0].exit = Some(ExitCause::Done);
-    s.cancel("wk-000001");
-    heartbeat(&mut l, &mut s, &mut w, "n1", 2.0);
+fn a_cancellation_written_before_the_completion_stands() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 1.0);
+    worker.tasks[0].exit = Some(ExitCause::Done);
+    store.cancel("wk-000001");
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 2.0);
     assert_eq!(
-        s.ended("wk-000001"),
+        store.final_state("wk-000001"),
         Some(JobState::Cancelled),
-        "the cancel's own row stands"
+        "the cancellation's own record stands"
     );
-    heartbeat(&mut l, &mut s, &mut w, "n1", 3.0);
-    assert!(w.tasks.is_empty());
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 3.0);
+    assert!(worker.tasks.is_empty());
 }
 
 #[test]
 fn a_failed_machine_is_deleted_and_a_booting_one_is_kept() {
-    let mut s = Store::default();
-    let mut l = s.elect(1, 0.0);
+    let mut store = Store::default();
+    let mut leader = store.elect(1, 0.0);
     let listed = |id: &str, state, age_s| ListedMachine {
         name: id.into(),
         machine_type: "m8".into(),
@@ -426,7 +444,7 @@
         age_s,
         address: None,
     };
-    l.apply_machine_list(
+    leader.apply_machine_list(
         &[
             listed("vm-1", ListedMachineState::Failed, 5.0),
             listed("vm-2", ListedMachineState::Booting, 5.0),
@@ -434,174 +452,193 @@
         1.0,
     );
     assert_eq!(
-        l.autoscale(2.0),
+        leader.autoscale(2.0),
         vec![CloudCall::Delete(vec!["vm-1".into()])]
     );
 }
 
 #[test]
-fn a_gang_is_placed_whole_or_not_at_all() {
-    let mut s = Store::default();
-    let mut l = s.elect(1, 0.0);
+fn a_gang_starts_only_when_all_its_tasks_have_room() {
+    let mut store = Store::default();
+    let mut leader = store.elect(1, 0.0);
     let (mut a, mut b) = (Worker::new("vm-1"), Worker::new("vm-2"));
     submit(
-        &mut l,
-        &mut s,
+        &mut leader,
+        &mut store,
         &Submission {
             kind: JobKind::Gang,
             ..job("wk-000001", 6)
         },
         0.0,
     );
-    heartbeat(&mut l, &mut s, &mut a, "n1", 1.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 1.0);
     assert_eq!(a.running(), 0, "four of six would fit");
-    heartbeat(&mut l, &mut s, &mut b, "n1", 1.5);
-    heartbeat(&mut l, &mut s, &mut a, "n1", 2.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 1.5);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 2.0);
     assert_eq!(a.running() + b.running(), 6);
 }
 
-/// A direct start without an answer may land late; if its attempt were
-/// forgotten meanwhile, it would run the task a second time.
+/// A direct start without a response may arrive late. If its attempt were forgotten in the
+/// meantime, the start would run the task a second time.
 #[test]
-fn an_unanswered_order_is_fenced_before_its_attempt_is_forgotten() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 1.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 2.0);
-    l.place_pending(2.0);
-    write_all(&mut l, &mut s);
+fn an_unanswered_direct_command_is_fenced_before_its_attempt_is_forgotten() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 1.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 2.0);
+    leader.place_pending(2.0);
+    write_all(&mut leader, &mut store);
     let AddressedCommands {
         machine,
         commands: late,
         ..
-    } = l.due_direct_commands(2.0).remove("n1").unwrap().remove(0);
-    assert!(l.due_direct_commands(2.0).is_empty());
-    // The answer of the next report carries the same start; the task fails.
-    heartbeat(&mut l, &mut s, &mut w, "n1", 2.5);
-    assert_eq!(w.running(), 1);
-    w.tasks[0].exit = Some(ExitCause::Error);
+    } = leader
+        .due_direct_commands(2.0)
+        .remove("n1")
+        .unwrap()
+        .remove(0);
+    assert!(leader.due_direct_commands(2.0).is_empty());
+    // The response to the next heartbeat carries the same start; the task fails.
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 2.5);
+    assert_eq!(worker.running(), 1);
+    worker.tasks[0].exit = Some(ExitCause::Error);
     let forgets = |c: &[Command]| c.iter().any(|c| matches!(c, Command::Forget { .. }));
-    let r = w.report();
-    let token = l.take_heartbeat("n1", &r, &[], 3.0).unwrap();
-    let commands = l.heartbeat_commands(&r, 3.0);
-    assert!(!forgets(&commands), "the order has no answer yet");
-    w.obey(token, &commands);
-    l.direct_commands_done(&machine, &late, CommandOutcome::Unknown);
-    let r = w.report();
-    let token = l.take_heartbeat("n1", &r, &[], 4.0).unwrap();
+    let heartbeat = worker.next_heartbeat();
+    let token = leader.take_heartbeat("n1", &heartbeat, &[], 3.0).unwrap();
+    let commands = leader.heartbeat_commands(&heartbeat, 3.0);
+    assert!(!forgets(&commands), "the direct command has no outcome yet");
+    worker.execute_commands(token, &commands);
+    leader.direct_commands_done(&machine, &late, CommandOutcome::Unknown);
+    let heartbeat = worker.next_heartbeat();
+    let token = leader.take_heartbeat("n1", &heartbeat, &[], 4.0).unwrap();
     assert!(token > late.fencing_token);
-    let commands = l.heartbeat_commands(&r, 4.0);
+    let commands = leader.heartbeat_commands(&heartbeat, 4.0);
     assert!(
         !forgets(&commands),
         "the worker has not seen the new token yet"
     );
-    w.obey(token, &commands);
-    let r = w.report();
-    let token = l.take_heartbeat("n1", &r, &[], 5.0).unwrap();
-    let commands = l.heartbeat_commands(&r, 5.0);
+    worker.execute_commands(token, &commands);
+    let heartbeat = worker.next_heartbeat();
+    let token = leader.take_heartbeat("n1", &heartbeat, &[], 5.0).unwrap();
+    let commands = leader.heartbeat_commands(&heartbeat, 5.0);
     assert!(forgets(&commands));
-    w.obey(token, &commands);
-    let before = w.tasks.len();
-    w.obey(late.fencing_token, &late.commands);
-    assert_eq!(w.tasks.len(), before, "fenced");
+    worker.execute_commands(token, &commands);
+    let before = worker.tasks.len();
+    worker.execute_commands(late.fencing_token, &late.commands);
+    assert_eq!(worker.tasks.len(), before, "fenced");
 }
 
-/// A leader short of processor time sent its orders so late that four reports
-/// without the task came first; given up then, it ran on two machines.
+/// A leader short of processor time can send its direct commands so late that four heartbeats
+/// without the task arrive first. If the placement were given up then, the task would run on
+/// two machines.
 #[test]
-fn an_order_still_open_is_not_given_up_however_many_reports_lack_its_task() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 1.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 2.0);
-    l.place_pending(2.0);
-    write_all(&mut l, &mut s);
+fn a_direct_command_without_outcome_keeps_its_placement_however_many_heartbeats_lack_its_task() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 1.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 2.0);
+    leader.place_pending(2.0);
+    write_all(&mut leader, &mut store);
     let AddressedCommands {
         machine,
         commands: late,
         ..
-    } = l.due_direct_commands(2.0).remove("n1").unwrap().remove(0);
-    // The answers to these reports never reach the worker.
+    } = leader
+        .due_direct_commands(2.0)
+        .remove("n1")
+        .unwrap()
+        .remove(0);
+    // The responses to these heartbeats never reach the worker.
     for i in 0..8 {
-        let mut r = w.report();
-        // With a notice, nothing more is placed there.
-        r.spot_notice_s = Some(100.0);
-        let token = l.take_heartbeat("n1", &r, &[], 3.0 + f64::from(i)).unwrap();
-        l.heartbeat_commands(&r, 3.0 + f64::from(i));
-        w.obey(token, &[]);
+        let mut heartbeat = worker.next_heartbeat();
+        // After a spot notice nothing more is placed on the machine.
+        heartbeat.spot_notice_s = Some(100.0);
+        let token = leader
+            .take_heartbeat("n1", &heartbeat, &[], 3.0 + f64::from(i))
+            .unwrap();
+        leader.heartbeat_commands(&heartbeat, 3.0 + f64::from(i));
+        worker.execute_commands(token, &[]);
     }
-    assert_eq!(l.task_counts("wk-000001", 11.0), Some((0, 0)));
+    assert_eq!(leader.task_counts("wk-000001", 11.0), Some((0, 0)));
     let mut other = Worker::new("vm-2");
-    heartbeat(&mut l, &mut s, &mut other, "n1", 11.5);
-    heartbeat(&mut l, &mut s, &mut other, "n1", 12.0);
-    assert_eq!(other.running(), 0, "it may yet start on vm-1");
-    // Unanswered, the order is fenced; only then the task may go elsewhere.
-    l.direct_commands_done(&machine, &late, CommandOutcome::Unknown);
+    exchange_heartbeat(&mut leader, &mut store, &mut other, "n1", 11.5);
+    exchange_heartbeat(&mut leader, &mut store, &mut other, "n1", 12.0);
+    assert_eq!(other.running(), 0, "the task may yet start on vm-1");
+    // The unanswered direct command is fenced; only then may the task go elsewhere.
+    leader.direct_commands_done(&machine, &late, CommandOutcome::Unknown);
     for i in 0..3 {
-        heartbeat(&mut l, &mut s, &mut w, "n1", 13.0 + f64::from(i));
+        exchange_heartbeat(
+            &mut leader,
+            &mut store,
+            &mut worker,
+            "n1",
+            13.0 + f64::from(i),
+        );
     }
-    heartbeat(&mut l, &mut s, &mut other, "n1", 16.5);
-    heartbeat(&mut l, &mut s, &mut other, "n1", 17.0);
-    w.obey(late.fencing_token, &late.commands);
-    assert_eq!(w.running() + other.running(), 1);
+    exchange_heartbeat(&mut leader, &mut store, &mut other, "n1", 16.5);
+    exchange_heartbeat(&mut leader, &mut store, &mut other, "n1", 17.0);
+    worker.execute_commands(late.fencing_token, &late.commands);
+    assert_eq!(worker.running() + other.running(), 1);
 }
 
 #[test]
-fn a_machine_silent_after_its_notice_is_deleted_without_further_delay() {
-    let (mut s, mut w, mut o) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
-    let mut l = s.elect(1, 0.0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 1.0);
-    let mut r = w.report();
-    r.spot_notice_s = Some(5.0);
-    l.take_heartbeat("n1", &r, &[], 2.0);
+fn a_machine_silent_at_the_end_of_its_spot_notice_is_deleted_without_further_delay() {
+    let (mut store, mut worker, mut o) =
+        (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
+    let mut leader = store.elect(1, 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 1.0);
+    let mut heartbeat = worker.next_heartbeat();
+    heartbeat.spot_notice_s = Some(5.0);
+    leader.take_heartbeat("n1", &heartbeat, &[], 2.0);
     for now in 3..8 {
-        heartbeat(&mut l, &mut s, &mut o, "n1", f64::from(now));
+        exchange_heartbeat(&mut leader, &mut store, &mut o, "n1", f64::from(now));
     }
-    let doomed = |calls: &[CloudCall]| {
+    let deletes_vm_1 = |calls: &[CloudCall]| {
         calls
             .iter()
             .any(|c| matches!(c, CloudCall::Delete(n) if n.iter().any(|n| n == "vm-1")))
     };
-    assert!(!doomed(&l.autoscale(6.9)));
-    assert!(doomed(&l.autoscale(7.5)));
+    assert!(!deletes_vm_1(&leader.autoscale(6.9)));
+    assert!(deletes_vm_1(&leader.autoscale(7.5)));
 }
 
 #[test]
-fn a_dear_machine_is_emptied_by_moving_what_can_save() {
-    let mut s = Store::default();
-    let mut l = s.elect(1, 0.0);
-    let (mut cheap, mut dear) = (Worker::new("vm-1"), Worker::new("vm-2"));
+fn tasks_with_checkpoints_move_from_an_on_demand_to_a_spot_machine() {
+    let mut store = Store::default();
+    let mut leader = store.elect(1, 0.0);
+    let (mut spot_worker, mut on_demand_worker) = (Worker::new("vm-1"), Worker::new("vm-2"));
     let saves = Submission {
         checkpoint_interval_s: 15.0,
         checkpoint_save_s: 3.0,
         ..job("wk-000001", 2)
     };
-    submit(&mut l, &mut s, &saves, 0.0);
-    let dear_beat = |l: &mut Leader, s: &mut Store, w: &mut Worker, now: f64| {
-        let r = Heartbeat {
-            spot: false,
-            ..w.report()
+    submit(&mut leader, &mut store, &saves, 0.0);
+    let exchange_on_demand_heartbeat =
+        |leader: &mut Leader, store: &mut Store, worker: &mut Worker, now: f64| {
+            let heartbeat = Heartbeat {
+                spot: false,
+                ..worker.next_heartbeat()
+            };
+            let token = leader.take_heartbeat("n1", &heartbeat, &[], now).unwrap();
+            leader.place_pending(now);
+            write_all(leader, store);
+            let commands = leader.heartbeat_commands(&heartbeat, now);
+            worker.execute_commands(token, &commands);
+            commands
         };
-        let token = l.take_heartbeat("n1", &r, &[], now).unwrap();
-        l.place_pending(now);
-        write_all(l, s);
-        let commands = l.heartbeat_commands(&r, now);
-        w.obey(token, &commands);
-        commands
-    };
-    dear_beat(&mut l, &mut s, &mut dear, 1.0);
-    assert_eq!(dear.running(), 2);
-    // Another job keeps the cheap machine from being returned.
-    heartbeat(&mut l, &mut s, &mut cheap, "n1", 1.5);
-    submit(&mut l, &mut s, &job("wk-000002", 1), 1.6);
-    heartbeat(&mut l, &mut s, &mut cheap, "n1", 1.8);
-    assert_eq!(cheap.running(), 1);
+    exchange_on_demand_heartbeat(&mut leader, &mut store, &mut on_demand_worker, 1.0);
+    assert_eq!(on_demand_worker.running(), 2);
+    // Another job keeps the spot machine from being returned.
+    exchange_heartbeat(&mut leader, &mut store, &mut spot_worker, "n1", 1.5);
+    submit(&mut leader, &mut store, &job("wk-000002", 1), 1.6);
+    exchange_heartbeat(&mut leader, &mut store, &mut spot_worker, "n1", 1.8);
+    assert_eq!(spot_worker.running(), 1);
     let mut stops = Vec::new();
     for now in 2..40 {
         let now = f64::from(now);
-        heartbeat(&mut l, &mut s, &mut cheap, "n1", now);
-        l.autoscale(now);
-        for c in dear_beat(&mut l, &mut s, &mut dear, now) {
+        exchange_heartbeat(&mut leader, &mut store, &mut spot_worker, "n1", now);
+        leader.autoscale(now);
+        for c in exchange_on_demand_heartbeat(&mut leader, &mut store, &mut on_demand_worker, now) {
             if let Command::Stop { grace_s, .. } = c {
                 assert!(grace_s >= 3.0);
                 stops.push(now);
@@ -609,131 +646,140 @@
         }
     }
     assert_eq!(stops.len(), 2);
-    assert!(stops[0] >= 20.0, "not before it is worth it: {stops:?}");
-    heartbeat(&mut l, &mut s, &mut cheap, "n1", 40.0);
-    assert_eq!((dear.running(), cheap.running()), (0, 3));
+    assert!(stops[0] >= 20.0, "not before the move pays: {stops:?}");
+    exchange_heartbeat(&mut leader, &mut store, &mut spot_worker, "n1", 40.0);
+    assert_eq!((on_demand_worker.running(), spot_worker.running()), (0, 3));
 }
 
-/// A job that was taken for ended and turns out to be live comes back with
-/// its tasks where the ledger has them; they once were queued afresh.
+/// A job that was taken for ended and turns out to be live keeps its tasks where the ledger
+/// has them; queued again, they would run twice.
 #[test]
-fn a_job_that_comes_back_keeps_its_placements() {
-    let (mut s, mut a, mut b) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
-    let mut l = s.elect(1, 0.0);
+fn a_removed_job_that_is_added_again_keeps_its_placements() {
+    let (mut store, mut a, mut b) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
+    let mut leader = store.elect(1, 0.0);
     let j = job("wk-000001", 3);
-    submit(&mut l, &mut s, &j, 0.0);
-    heartbeat(&mut l, &mut s, &mut a, "n1", 1.0);
+    submit(&mut leader, &mut store, &j, 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 1.0);
     assert_eq!(a.running(), 3);
-    l.remove_job("wk-000001");
+    leader.remove_job("wk-000001");
     let value = JobRecord::new(j, 0);
-    l.add_job(value, s.revision_of(&keys::job("wk-000001")), 2.0);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 2.5);
-    heartbeat(&mut l, &mut s, &mut a, "n1", 3.0);
+    leader.add_job(value, store.revision_of(&keys::job("wk-000001")), 2.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 2.5);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 3.0);
     assert_eq!((a.running(), b.running()), (3, 0));
 }
 
-/// A job whose record can be read at last must not run a second time beside what went on.
+/// The tasks of a job whose record was unreadable run on. Once the record can be read, they
+/// must not be started a second time.
 #[test]
 fn a_job_whose_record_becomes_readable_keeps_its_placements() {
-    let (mut s, mut a, mut b) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
-    let mut l = s.elect(1, 0.0);
+    let (mut store, mut a, mut b) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
+    let mut leader = store.elect(1, 0.0);
     let j = job("wk-000001", 3);
-    submit(&mut l, &mut s, &j, 0.0);
-    heartbeat(&mut l, &mut s, &mut a, "n1", 1.0);
-    l.remove_job("wk-000001");
-    l.set_unreadable_jobs(["wk-000001".to_string()].into());
-    heartbeat(&mut l, &mut s, &mut a, "n1", 2.0);
-    assert_eq!(a.running(), 3, "what runs goes on");
+    submit(&mut leader, &mut store, &j, 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 1.0);
+    leader.remove_job("wk-000001");
+    leader.set_unreadable_jobs(["wk-000001".to_string()].into());
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 2.0);
+    assert_eq!(a.running(), 3, "running tasks continue");
     let value = JobRecord::new(j, 0);
-    l.add_job(value, s.revision_of(&keys::job("wk-000001")), 2.5);
-    assert_eq!(l.unreadable_job_ids().count(), 0);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 3.0);
-    heartbeat(&mut l, &mut s, &mut a, "n1", 3.5);
+    leader.add_job(value, store.revision_of(&keys::job("wk-000001")), 2.5);
+    assert_eq!(leader.unreadable_job_ids().count(), 0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 3.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n1", 3.5);
     assert_eq!((a.running(), b.running()), (3, 0));
 }
 
-/// A start whose answer was lost and whose job was then cancelled: its room
-/// must come free, though no start is sent again.
+/// The response with a start is lost and the job is then cancelled: the placement must be
+/// freed although the start is not sent again.
 #[test]
-fn a_cancelled_placement_that_never_arrived_is_freed() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    heartbeat(&mut l, &mut s, &mut w, "n1", 0.5);
-    submit(&mut l, &mut s, &job("wk-000001", 4), 0.6);
-    let r = w.report();
-    l.take_heartbeat("n1", &r, &[], 1.0);
-    l.place_pending(1.0);
-    write_all(&mut l, &mut s);
-    assert_eq!(l.heartbeat_commands(&r, 1.0).len(), 4, "lost on its way");
-    s.cancel("wk-000001");
-    l.remove_job("wk-000001");
-    submit(&mut l, &mut s, &job("wk-000002", 4), 1.5);
+fn a_cancelled_placement_whose_start_never_arrived_is_freed() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 0.5);
+    submit(&mut leader, &mut store, &job("wk-000001", 4), 0.6);
+    let heartbeat = worker.next_heartbeat();
+    leader.take_heartbeat("n1", &heartbeat, &[], 1.0);
+    leader.place_pending(1.0);
+    write_all(&mut leader, &mut store);
+    assert_eq!(
+        leader.heartbeat_commands(&heartbeat, 1.0).len(),
+        4,
+        "lost in transit"
+    );
+    store.cancel("wk-000001");
+    leader.remove_job("wk-000001");
+    submit(&mut leader, &mut store, &job("wk-000002", 4), 1.5);
     for now in 2..6 {
-        heartbeat(&mut l, &mut s, &mut w, "n1", f64::from(now));
+        exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", f64::from(now));
     }
-    assert_eq!(w.running(), 4);
-    assert!(w.tasks.iter().all(|t| t.task.starts_with("wk-000002")));
+    assert_eq!(worker.running(), 4);
+    assert!(worker.tasks.iter().all(|t| t.task.starts_with("wk-000002")));
 }
 
-/// A new leader that knew no images had them all fetched again, elsewhere.
+/// A new leader that did not know where images are cached would have all of them fetched again
+/// on other machines.
 #[test]
-fn a_new_leader_knows_where_images_are() {
-    let (mut s, mut a, mut b) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
-    let mut l = s.elect(1, 0.0);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 1.0);
-    submit(&mut l, &mut s, &job("wk-000001", 1), 1.0);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 2.0);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 3.0);
+fn a_new_leader_places_a_task_where_its_image_is_cached() {
+    let (mut store, mut a, mut b) = (Store::default(), Worker::new("vm-1"), Worker::new("vm-2"));
+    let mut leader = store.elect(1, 0.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 1.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 1), 1.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 2.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 3.0);
     b.tasks[0].exit = Some(ExitCause::Done);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 9.0);
-    heartbeat(&mut l, &mut s, &mut b, "n1", 9.5);
-    assert!(l.placements_held().is_empty());
-    let images = l.image_snapshot(9.5);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 9.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n1", 9.5);
+    assert!(leader.placements_held().is_empty());
+    let images = leader.image_snapshot(9.5);
     assert_eq!(images.machine_names(), ["vm-2"]);
-    s.put(keys::IMAGES, StoredRecord::ImageCache(images));
-    let mut l = s.elect(2, 10.0);
-    heartbeat(&mut l, &mut s, &mut a, "n2", 11.0);
-    heartbeat(&mut l, &mut s, &mut b, "n2", 11.0);
+    store.put(keys::IMAGES, StoredRecord::ImageCache(images));
+    let mut leader = store.elect(2, 10.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut a, "n2", 11.0);
+    exchange_heartbeat(&mut leader, &mut store, &mut b, "n2", 11.0);
     let far = Submission {
         image_gb: 20.0,
         ..job("wk-000002", 1)
     };
-    submit(&mut l, &mut s, &far, 12.0);
-    l.place_pending(12.0);
-    let held = l.placements_held();
-    assert_eq!(held.first().unwrap().0, "vm-2", "the image is there");
+    submit(&mut leader, &mut store, &far, 12.0);
+    leader.place_pending(12.0);
+    let held = leader.placements_held();
+    assert_eq!(held.first().unwrap().0, "vm-2", "the image is cached there");
 }
 
-/// The state service has refused it, so it was not executed: the placements wait for
-/// the next round, and no key is in doubt. After an outage hundreds of keys were once
-/// read again one by one before anything was placed.
+/// A refused transaction was not executed, so its placements wait for the next round and no key
+/// is in doubt. Were they treated as in doubt, hundreds of keys would be read again one by one
+/// after an outage before anything is placed.
 #[test]
-fn what_the_state_service_refused_is_written_again_without_reading_anything() {
-    let (mut s, mut w) = (Store::default(), Worker::new("vm-1"));
-    let mut l = s.elect(1, 0.0);
-    submit(&mut l, &mut s, &job("wk-000001", 2), 0.0);
-    let r = w.report();
-    l.take_heartbeat("n1", &r, &[], 1.0).unwrap();
-    l.place_pending(1.0);
-    let refused = l.ledger_batch().unwrap();
-    l.ledger_batch_done(refused, &WriteOutcome::Refused);
-    assert!(l.keys_to_reread.is_empty() && l.heartbeat_commands(&r, 1.0).is_empty());
-    assert_eq!(l.audit(), Ok(()));
-    heartbeat(&mut l, &mut s, &mut w, "n1", 2.0);
-    assert_eq!(w.running(), 2);
+fn a_refused_transaction_is_written_again_without_rereading_keys() {
+    let (mut store, mut worker) = (Store::default(), Worker::new("vm-1"));
+    let mut leader = store.elect(1, 0.0);
+    submit(&mut leader, &mut store, &job("wk-000001", 2), 0.0);
+    let heartbeat = worker.next_heartbeat();
+    leader.take_heartbeat("n1", &heartbeat, &[], 1.0).unwrap();
+    leader.place_pending(1.0);
+    let refused = leader.ledger_batch().unwrap();
+    leader.ledger_batch_done(refused, &WriteOutcome::Refused);
+    assert!(
+        leader.keys_to_reread.is_empty() && leader.heartbeat_commands(&heartbeat, 1.0).is_empty()
+    );
+    assert_eq!(leader.audit(), Ok(()));
+    exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 2.0);
+    assert_eq!(worker.running(), 2);
     // Final states as well.
-    for t in &mut w.tasks {
+    for t in &mut worker.tasks {
         t.exit = Some(ExitCause::Done);
     }
-    let r = w.report();
-    l.take_heartbeat("n1", &r, &[], 3.0).unwrap();
-    let refused = l.job_batch(true, 3.0).unwrap();
+    let heartbeat = worker.next_heartbeat();
+    leader.take_heartbeat("n1", &heartbeat, &[], 3.0).unwrap();
+    let refused = leader.job_batch(true, 3.0).unwrap();
     assert!(
         refused.has_final_states()
-            && l.job_batch_done(refused, &WriteOutcome::Refused, 3.0)
+            && leader
+                .job_batch_done(refused, &WriteOutcome::Refused, 3.0)
                 .is_empty()
     );
-    assert!(l.keys_to_reread.is_empty());
-    write_all(&mut l, &mut s);
-    assert!(s.records.contains_key(&keys::ended("wk-000001")));
+    assert!(leader.keys_to_reread.is_empty());
+    write_all(&mut leader, &mut store);
+    assert!(store.records.contains_key(&keys::ended("wk-000001")));
 }
--- a/crates/control/tests/leadership.rs
+++ b/crates/control/tests/leadership.rs
@@ -112,13 +112,13 @@
 /// kept cancelled work alive.
 #[test]
 fn a_hello_does_not_renew_the_lease_of_a_machine_with_work_of_an_ended_job() {
-    let (mut cluster, mut w) = (TestCluster::new(), Worker::new("vm-1"));
+    let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
     let mut other = Worker::new("vm-2");
     cluster.submit(&job("wk-000001", 2), 0.0);
-    cluster.heartbeat(&mut w, "n2", 1.0);
+    cluster.heartbeat(&mut worker, "n2", 1.0);
     cluster.heartbeat(&mut other, "n2", 1.0);
-    cluster.heartbeat(&mut w, "n2", 2.0);
-    assert_eq!(w.running(), 2);
+    cluster.heartbeat(&mut worker, "n2", 2.0);
+    assert_eq!(worker.running(), 2);
     let names = |b: Vec<(String, u64)>| b.into_iter().map(|m| m.0).collect::<Vec<_>>();
     assert_eq!(
         names(cluster.leader.extend_shard("n2", 2.1)),
@@ -127,15 +127,20 @@
     cluster.cancel("wk-000001");
     assert_eq!(names(cluster.leader.extend_shard("n2", 2.2)), ["vm-2"]);
     // Its heartbeat is taken, and the response with the stops is lost on the way.
-    let r = w.report();
-    assert!(cluster.leader.take_heartbeat("n2", &r, &[], 3.0).is_some());
-    let stops = cluster.leader.heartbeat_commands(&r, 3.0);
+    let heartbeat = worker.next_heartbeat();
+    assert!(
+        cluster
+            .leader
+            .take_heartbeat("n2", &heartbeat, &[], 3.0)
+            .is_some()
+    );
+    let stops = cluster.leader.heartbeat_commands(&heartbeat, 3.0);
     assert_eq!(stops.len(), 2, "{stops:?}");
     assert_eq!(names(cluster.leader.extend_shard("n2", 3.1)), ["vm-2"]);
     // The next response arrives: its stops are obeyed, and the machine is in the shard again.
-    cluster.heartbeat(&mut w, "n2", 4.0);
-    assert_eq!(w.running(), 0);
-    cluster.heartbeat(&mut w, "n2", 5.0);
+    cluster.heartbeat(&mut worker, "n2", 4.0);
+    assert_eq!(worker.running(), 0);
+    cluster.heartbeat(&mut worker, "n2", 5.0);
     cluster.heartbeat(&mut other, "n2", 5.0);
     assert_eq!(
         names(cluster.leader.extend_shard("n2", 5.1)),
@@ -148,14 +153,19 @@
 /// gone, a hello doesn't keep it alive.
 #[test]
 fn a_hello_does_not_renew_the_lease_of_a_machine_with_an_unknown_task() {
-    let (mut cluster, mut w) = (TestCluster::new(), Worker::new("vm-1"));
-    w.tasks.push(WorkerTask::running("wk-000009/0", 5));
-    let r = w.report();
-    assert!(cluster.leader.take_heartbeat("n2", &r, &[], 1.0).is_some());
-    assert_eq!(cluster.leader.heartbeat_commands(&r, 1.0).len(), 1);
+    let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
+    worker.tasks.push(WorkerTask::running("wk-000009/0", 5));
+    let heartbeat = worker.next_heartbeat();
+    assert!(
+        cluster
+            .leader
+            .take_heartbeat("n2", &heartbeat, &[], 1.0)
+            .is_some()
+    );
+    assert_eq!(cluster.leader.heartbeat_commands(&heartbeat, 1.0).len(), 1);
     assert!(cluster.leader.extend_shard("n2", 1.1).is_empty());
-    cluster.heartbeat(&mut w, "n2", 2.0);
-    cluster.heartbeat(&mut w, "n2", 3.0);
+    cluster.heartbeat(&mut worker, "n2", 2.0);
+    cluster.heartbeat(&mut worker, "n2", 3.0);
     assert_eq!(cluster.leader.extend_shard("n2", 3.1).len(), 1);
 }
 
@@ -165,19 +175,22 @@
 /// the leader again.
 #[test]
 fn a_cancelled_start_that_a_heartbeat_may_have_missed_is_followed_by_a_stop() {
-    let (mut cluster, mut w) = (TestCluster::new(), Worker::new("vm-1"));
+    let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
     cluster.submit(&job("wk-000001", 1), 0.0);
-    let r = w.report();
-    let token = cluster.leader.take_heartbeat("n2", &r, &[], 1.0).unwrap();
-    w.obey(token, &[]);
+    let heartbeat = worker.next_heartbeat();
+    let token = cluster
+        .leader
+        .take_heartbeat("n2", &heartbeat, &[], 1.0)
+        .unwrap();
+    worker.execute_commands(token, &[]);
     cluster.leader.place_pending(1.0);
     cluster.write_all();
-    let late = w.report();
+    let late = worker.next_heartbeat();
     let orders = cluster.leader.due_direct_commands(1.1);
     let due = orders["n2"][0].clone();
     let (machine, start) = (due.machine, due.commands);
     assert_eq!(start.commands.len(), 1);
-    w.obey(start.fencing_token, &start.commands);
+    worker.execute_commands(start.fencing_token, &start.commands);
     cluster
         .leader
         .direct_commands_done(&machine, &start, CommandOutcome::Executed);
@@ -190,8 +203,8 @@
     let stop = |c: &Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s <= 0.0);
     assert!(commands.iter().any(stop), "{commands:?}");
     assert_eq!(cluster.leader.extend_shard("n2", 1.6).len(), 0);
-    w.obey(token, &commands);
-    assert_eq!(w.running(), 0);
+    worker.execute_commands(token, &commands);
+    assert_eq!(worker.running(), 0);
 }
 
 /// The response that carries them is given under its token, and the lease stays as it
--- a/crates/control/tests/ledger_at_scale.rs
+++ b/crates/control/tests/ledger_at_scale.rs
@@ -116,8 +116,8 @@
     cluster.heartbeat(worker, "n1", 3.0);
     worker.tasks[0].exit = Some(ExitCause::Done);
     worker.tasks[1].exit = Some(ExitCause::Done);
-    let r = worker.report();
-    cluster.leader.take_heartbeat("n1", &r, &[], 4.0);
+    let heartbeat = worker.next_heartbeat();
+    cluster.leader.take_heartbeat("n1", &heartbeat, &[], 4.0);
     let before = cluster.leader.machines_examined();
     cluster.leader.place_pending(4.0);
     assert_eq!(cluster.leader.placements_held().len(), 2000);
@@ -234,7 +234,7 @@
             "one doubt at a time"
         );
         for worker in &mut workers {
-            let r = worker.report();
+            let r = worker.next_heartbeat();
             cluster.leader.take_heartbeat("n1", &r, &[], 2.2).unwrap();
             assert!(cluster.leader.heartbeat_commands(&r, 2.2).is_empty());
         }
@@ -312,7 +312,7 @@
             }
             match rng.random_range(0..40) {
                 0 => {
-                    workers[at].session += 1;
+                    workers[at].incarnation += 1;
                     workers[at].tasks.clear();
                 }
                 1 => {
@@ -423,8 +423,11 @@
     let mut cluster = TestCluster::new();
     let mut workers = fleet(2);
     cluster.submit(&job("wk-000001", 4), 0.5);
-    let r = workers[0].report();
-    cluster.leader.take_heartbeat("n1", &r, &[], 1.0).unwrap();
+    let heartbeat = workers[0].next_heartbeat();
+    cluster
+        .leader
+        .take_heartbeat("n1", &heartbeat, &[], 1.0)
+        .unwrap();
     cluster.leader.place_pending(1.0);
     let lost = cluster.leader.ledger_batch().unwrap();
     let late = lost.txn.clone();
@@ -439,8 +442,11 @@
     ));
     cluster.fail_over(2, 2.0);
     cluster.submit(&job("wk-000002", 4), 2.0);
-    let r = workers[1].report();
-    cluster.leader.take_heartbeat("n2", &r, &[], 3.0).unwrap();
+    let heartbeat = workers[1].next_heartbeat();
+    cluster
+        .leader
+        .take_heartbeat("n2", &heartbeat, &[], 3.0)
+        .unwrap();
     cluster.leader.place_pending(3.0);
     assert_eq!(cluster.leader.placements_held().len(), 8);
 }
@@ -453,20 +459,29 @@
     let mut workers = fleet(2);
     let first = &mut workers[0];
     cluster.submit(&big(1, 2), 0.5);
-    let r = first.report();
-    cluster.leader.take_heartbeat("n1", &r, &[], 1.0).unwrap();
+    let heartbeat = first.next_heartbeat();
+    cluster
+        .leader
+        .take_heartbeat("n1", &heartbeat, &[], 1.0)
+        .unwrap();
     cluster.leader.place_pending(1.0);
     let batch = cluster.leader.ledger_batch().unwrap();
-    first.session += 1;
-    let mut r = first.report();
-    r.spot_notice_s = Some(100.0);
-    cluster.leader.take_heartbeat("n1", &r, &[], 1.5).unwrap();
+    first.incarnation += 1;
+    let mut heartbeat = first.next_heartbeat();
+    heartbeat.spot_notice_s = Some(100.0);
+    cluster
+        .leader
+        .take_heartbeat("n1", &heartbeat, &[], 1.5)
+        .unwrap();
     let outcome = cluster.store.apply(&batch.txn);
     cluster.leader.ledger_batch_done(batch, &outcome);
     assert!(cluster.leader.placements_held().is_empty());
     // Another job keeps the first entry from being dropped whole.
-    let r = workers[1].report();
-    cluster.leader.take_heartbeat("n1", &r, &[], 2.0).unwrap();
+    let heartbeat = workers[1].next_heartbeat();
+    cluster
+        .leader
+        .take_heartbeat("n1", &heartbeat, &[], 2.0)
+        .unwrap();
     cluster.leader.place_pending(2.0);
     let first_entry: Vec<_> = cluster
         .store
--- a/crates/control/tests/ledger_orders.rs
+++ b/crates/control/tests/ledger_orders.rs
@@ -63,7 +63,7 @@
     }
 
     fn heartbeat(&mut self, now: f64) -> Heartbeat {
-        let mut heartbeat = self.worker.report();
+        let mut heartbeat = self.worker.next_heartbeat();
         heartbeat.spot_notice_s = self.reclaimed_at.map(|at| at - now);
         heartbeat
     }
@@ -275,7 +275,7 @@
         let mut expired = 0;
         for machine in &mut self.machines {
             if now - machine.leased_at > LEASE_S {
-                machine.worker.session += 1;
+                machine.worker.incarnation += 1;
                 machine.worker.tasks.clear();
                 machine.leased_at = now;
                 expired += 1;
@@ -318,7 +318,7 @@
     // --- the leader ---
 
     fn lead(&mut self) {
-        self.store.answer_need_queries(&mut self.leader, self.now);
+        self.store.answer_job_lookups(&mut self.leader, self.now);
         self.leader.place_pending(self.now);
         self.learn_outcome();
         if self.awaited_batch.is_none()
@@ -421,10 +421,10 @@
             return false;
         };
         let worker = &mut machine.worker;
-        let valid =
-            commands.incarnation == worker.session && commands.fencing_token >= worker.token;
+        let valid = commands.incarnation == worker.incarnation
+            && commands.fencing_token >= worker.fencing_token;
         if valid {
-            worker.obey(commands.fencing_token, &commands.commands);
+            worker.execute_commands(commands.fencing_token, &commands.commands);
         }
         valid
     }
@@ -447,8 +447,8 @@
             return;
         }
         let machine = &mut self.machines[at];
-        if token >= machine.worker.token {
-            machine.worker.obey(token, &commands);
+        if token >= machine.worker.fencing_token {
+            machine.worker.execute_commands(token, &commands);
             machine.leased_at = now;
         }
     }
--- a/crates/control/tests/ledger_recovery.rs
+++ b/crates/control/tests/ledger_recovery.rs
@@ -61,7 +61,7 @@
     }
     cluster.leader.place_pending(3.0);
     worker.tasks[0].exit = Some(ExitCause::Done);
-    let report = worker.report();
+    let report = worker.next_heartbeat();
     cluster.leader.take_heartbeat("n1", &report, &[], 4.0);
     cluster.leader.place_pending(4.0);
 }
--- a/crates/control/tests/new_machines.rs
+++ b/crates/control/tests/new_machines.rs
@@ -47,23 +47,28 @@
 fn start_all(leader: &mut Leader, worker: &mut Worker, now: f64) {
     for (_, orders) in leader.due_direct_commands(now) {
         for due in orders {
-            worker.obey(due.commands.fencing_token, &due.commands.commands);
+            worker.execute_commands(due.commands.fencing_token, &due.commands.commands);
         }
     }
-    let report = worker.report();
+    let report = worker.next_heartbeat();
     if let Some(token) = leader.take_heartbeat("n", &report, &[], now) {
         let commands = leader.heartbeat_commands(&report, now);
-        worker.obey(token, &commands);
+        worker.execute_commands(token, &commands);
     }
 }
 
 /// The first leader's write: carried out now or returned, and what its leader is told.
-fn write(leader: &mut Leader, s: &mut Store, batch: LedgerBatch, fate: WriteFate) -> Option<Txn> {
+fn write(
+    leader: &mut Leader,
+    store: &mut Store,
+    batch: LedgerBatch,
+    fate: WriteFate,
+) -> Option<Txn> {
     let txn = batch.txn.clone();
     let (outcome, late) = match fate {
-        WriteFate::Answered => (s.apply(&txn), None),
+        WriteFate::Answered => (store.apply(&txn), None),
         WriteFate::AnswerLost => {
-            s.apply(&txn);
+            store.apply(&txn);
             (WriteOutcome::Unknown, None)
         }
         _ => (WriteOutcome::Unknown, Some(txn)),
@@ -74,16 +79,16 @@
 
 /// A full team's tasks go to a machine that came up two seconds ago, and the leader ends.
 /// Returns the machine and the next leader, elected at 4 s.
-fn failed_over(s: &mut Store, fate: WriteFate) -> (Worker, Leader) {
+fn failed_over(store: &mut Store, fate: WriteFate) -> (Worker, Leader) {
     let mut worker = Worker::new(NEW);
-    let mut first = s.elect(1, 0.0);
-    submit(&mut first, s, &job("wk-000001", 8), 0.0);
+    let mut first = store.elect(1, 0.0);
+    submit(&mut first, store, &job("wk-000001", 8), 0.0);
     rent(&mut first, 0.5);
-    let report = worker.report();
+    let report = worker.next_heartbeat();
     first.take_heartbeat("n", &report, &[], 2.0);
     first.place_pending(2.0);
     let batch = first.ledger_batch().unwrap();
-    let late = write(&mut first, s, batch, fate);
+    let late = write(&mut first, store, batch, fate);
     start_all(&mut first, &mut worker, 2.5);
     let started = if fate == WriteFate::Answered { 4 } else { 0 };
     assert_eq!(worker.running(), started, "{fate:?}");
@@ -91,11 +96,11 @@
         .clone()
         .filter(|_| fate == WriteFate::LateBeforeElection);
     if let Some(txn) = late_at_once {
-        assert!(matches!(s.apply(&txn), WriteOutcome::Applied(_)));
+        assert!(matches!(store.apply(&txn), WriteOutcome::Applied(_)));
     }
-    let next = s.elect(2, 4.0);
+    let next = store.elect(2, 4.0);
     if let Some(txn) = late.filter(|_| fate == WriteFate::LateAfterElection) {
-        assert!(matches!(s.apply(&txn), WriteOutcome::Conflict(_)));
+        assert!(matches!(store.apply(&txn), WriteOutcome::Conflict(_)));
     }
     (worker, next)
 }
@@ -107,8 +112,8 @@
 #[test]
 fn the_next_leader_knows_the_tasks_of_a_new_machine_or_it_has_none() {
     for fate in WRITE_FATES {
-        let mut s = Store::default();
-        let (worker, next) = failed_over(&mut s, fate);
+        let mut store = Store::default();
+        let (worker, next) = failed_over(&mut store, fate);
         let held = next.placements_held();
         for t in &worker.tasks {
             let row = (NEW.to_string(), t.task.clone(), t.attempt);
@@ -142,8 +147,8 @@
 #[test]
 fn tasks_of_a_silent_unlisted_machine_start_elsewhere_only_after_its_leases() {
     for fate in WRITE_FATES {
-        let mut s = Store::default();
-        let (mut lost, mut next) = failed_over(&mut s, fate);
+        let mut store = Store::default();
+        let (mut lost, mut next) = failed_over(&mut store, fate);
         let over = 4.0 + next.timing.shard_lease_bound_s() + next.timing.tasks_gone_after_s();
         let mut others = vec![Worker::new("vm-1")];
         let mut now = 4.0;
@@ -155,7 +160,7 @@
             next.apply_machine_list(&[], now);
             apply_cloud_calls(&mut next, &mut others, now);
             for worker in &mut others {
-                heartbeat(&mut next, &mut s, worker, "n", now);
+                exchange_heartbeat(&mut next, &mut store, worker, "n", now);
             }
             let all = others.iter().chain([&lost]);
             let running: usize = all.clone().map(Worker::running).sum();
@@ -179,12 +184,12 @@
 #[test]
 fn a_new_machine_that_only_the_last_leader_met_is_adopted() {
     for fate in WRITE_FATES {
-        let mut s = Store::default();
-        let (mut worker, mut next) = failed_over(&mut s, fate);
+        let mut store = Store::default();
+        let (mut worker, mut next) = failed_over(&mut store, fate);
         let mut now = 4.0;
         while now < 12.0 {
             now += 0.5;
-            heartbeat(&mut next, &mut s, &mut worker, "n", now);
+            exchange_heartbeat(&mut next, &mut store, &mut worker, "n", now);
             next.apply_machine_list(&[], now);
             next.autoscale(now);
             next.audit().unwrap();
@@ -205,30 +210,30 @@
         .iter()
         .flat_map(|a| WRITE_FATES.map(|b| (*a, b)))
     {
-        let mut s = Store::default();
-        let (one, mut next) = failed_over(&mut s, first);
+        let mut store = Store::default();
+        let (one, mut next) = failed_over(&mut store, first);
         let mut two = Worker::new("vm-8");
-        let report = two.report();
+        let report = two.next_heartbeat();
         next.take_heartbeat("n", &report, &[], 5.0);
         next.place_pending(5.0);
         let late = next
             .ledger_batch()
-            .and_then(|batch| write(&mut next, &mut s, batch, second));
+            .and_then(|batch| write(&mut next, &mut store, batch, second));
         start_all(&mut next, &mut two, 5.5);
         if let Some(txn) = late
             .clone()
             .filter(|_| second == WriteFate::LateBeforeElection)
         {
-            s.apply(&txn);
+            store.apply(&txn);
         }
-        let mut last = s.elect(3, 7.0);
+        let mut last = store.elect(3, 7.0);
         if let Some(txn) = late.filter(|_| second == WriteFate::LateAfterElection) {
-            assert!(matches!(s.apply(&txn), WriteOutcome::Conflict(_)));
+            assert!(matches!(store.apply(&txn), WriteOutcome::Conflict(_)));
         }
         let mut three = Worker::new("vm-7");
         for n in 0..10 {
             let now = 7.0 + f64::from(n);
-            heartbeat(&mut last, &mut s, &mut three, "n", now);
+            exchange_heartbeat(&mut last, &mut store, &mut three, "n", now);
             let running = one.running() + two.running() + three.running();
             assert!(
                 running <= 8,
@@ -243,13 +248,13 @@
 /// one leads and has placed the task elsewhere, or has not: the token decides.
 #[test]
 fn a_late_start_at_a_new_machine_is_fenced_before_its_task_is_placed_again() {
-    let (mut s, mut worker) = (Store::default(), Worker::new(NEW));
-    let mut first = s.elect(1, 0.0);
-    submit(&mut first, &mut s, &job("wk-000001", 1), 0.0);
+    let (mut store, mut worker) = (Store::default(), Worker::new(NEW));
+    let mut first = store.elect(1, 0.0);
+    submit(&mut first, &mut store, &job("wk-000001", 1), 0.0);
     rent(&mut first, 0.5);
-    first.take_heartbeat("n", &worker.report(), &[], 2.0);
+    first.take_heartbeat("n", &worker.next_heartbeat(), &[], 2.0);
     first.place_pending(2.0);
-    write_all(&mut first, &mut s);
+    write_all(&mut first, &mut store);
     let orders: Vec<DirectCommands> = first
         .due_direct_commands(2.5)
         .into_values()
@@ -258,14 +263,14 @@
         .collect();
     let start = |c: &Command| matches!(c, Command::Start { .. });
     assert!(orders.iter().any(|o| o.commands.iter().any(start)));
-    let mut next = s.elect(2, 4.0);
+    let mut next = store.elect(2, 4.0);
     let mut other = Worker::new("vm-1");
     for n in 0..4 {
         let now = 5.0 + f64::from(n);
-        heartbeat(&mut next, &mut s, &mut worker, "n", now);
-        heartbeat(&mut next, &mut s, &mut other, "n", now);
+        exchange_heartbeat(&mut next, &mut store, &mut worker, "n", now);
+        exchange_heartbeat(&mut next, &mut store, &mut other, "n", now);
         for o in &orders {
-            worker.obey(o.fencing_token, &o.commands);
+            worker.execute_commands(o.fencing_token, &o.commands);
         }
         assert!(
             worker.running() + other.running() <= 1,
--- a/crates/control/tests/overdue_boots.rs
+++ b/crates/control/tests/overdue_boots.rs
@@ -150,7 +150,7 @@
             now,
         );
     }
-    let late: Heartbeat = gone.report();
+    let late: Heartbeat = gone.next_heartbeat();
     assert_eq!(
         cluster.leader.take_heartbeat("n1", &late, &[], 5.0),
         None,
--- a/crates/control/tests/preemption.rs
+++ b/crates/control/tests/preemption.rs
@@ -50,7 +50,7 @@
         cluster
             .leader
             .direct_commands_done("vm-1", o, CommandOutcome::Executed);
-        worker.obey(o.fencing_token, &o.commands);
+        worker.execute_commands(o.fencing_token, &o.commands);
     }
     cluster.heartbeat(&mut worker, "n1", 3.0);
     cluster.heartbeat(&mut worker, "n1", 4.0);
@@ -84,12 +84,18 @@
     assert!(!cluster.leader.due_direct_commands(2.0).is_empty());
     let mut asked = Vec::new();
     for now in 3..12 {
-        let r = worker.report();
+        let heartbeat = worker.next_heartbeat();
         cluster
             .leader
-            .take_heartbeat("n1", &r, &[], f64::from(now))
+            .take_heartbeat("n1", &heartbeat, &[], f64::from(now))
             .unwrap();
-        if !stops(&cluster.leader.heartbeat_commands(&r, f64::from(now))).is_empty() {
+        if !stops(
+            &cluster
+                .leader
+                .heartbeat_commands(&heartbeat, f64::from(now)),
+        )
+        .is_empty()
+        {
             asked.push(now);
         }
     }
--- a/crates/control/tests/recovered_accounting.rs
+++ b/crates/control/tests/recovered_accounting.rs
@@ -18,14 +18,14 @@
 }
 
 fn in_zone(name: &str, zone: &str) -> Worker {
-    let mut w = Worker::new(name);
-    w.zone = zone.into();
-    w
+    let mut worker = Worker::new(name);
+    worker.zone = zone.into();
+    worker
 }
 
-fn of(w: &Worker, id: &str) -> usize {
+fn of(worker: &Worker, id: &str) -> usize {
     let own = |t: &&WorkerTask| t.task.starts_with(id) && t.is_running();
-    w.tasks.iter().filter(own).count()
+    worker.tasks.iter().filter(own).count()
 }
 
 fn deletions(leader: &mut Leader, now: f64) -> Vec<String> {
@@ -73,11 +73,13 @@
             // Its last answered heartbeat was sent at 2 s.
             if gone.is_none() && now > 2.0 + cluster.leader.timing.worker_lease_s {
                 a.tasks.clear();
-                a.session += 1;
+                a.incarnation += 1;
                 gone = Some(now);
             }
             if lost == Lost::Deaf {
-                cluster.leader.take_heartbeat("n", &a.report(), &[], now);
+                cluster
+                    .leader
+                    .take_heartbeat("n", &a.next_heartbeat(), &[], now);
             }
             cluster.heartbeat(&mut b, "n", now);
             for name in deletions(&mut cluster.leader, now) {
@@ -128,33 +130,33 @@
 /// the job is done after the last and not before.
 #[test]
 fn tasks_that_end_far_apart_over_many_leaders_are_each_counted_once() {
-    let (mut cluster, mut w) = (TestCluster::new(), Worker::new("vm-1"));
+    let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
     cluster.submit(&wide("wk-000001", 3), 0.0);
-    cluster.heartbeat(&mut w, "n", 1.0);
-    assert_eq!(w.running(), 3);
+    cluster.heartbeat(&mut worker, "n", 1.0);
+    assert_eq!(worker.running(), 3);
     for term in 2..=13u64 {
         let now = 10.0 * term as f64;
         // The task ends between two heartbeats, and the leader that hears it ends before its write.
         let ends = [(3, 0), (7, 1), (12, 2)].into_iter().find(|e| e.0 == term);
         if let Some((_, task)) = ends {
             let name = format!("wk-000001/{task}");
-            let t = w.tasks.iter_mut().find(|t| t.task == name).unwrap();
+            let t = worker.tasks.iter_mut().find(|t| t.task == name).unwrap();
             t.exit = Some(ExitCause::Done);
-            let report = w.report();
+            let report = worker.next_heartbeat();
             if let Some(token) = cluster.leader.take_heartbeat("n", &report, &[], now) {
                 let commands = cluster.leader.heartbeat_commands(&report, now);
-                w.obey(token, &commands);
+                worker.execute_commands(token, &commands);
             }
         }
         cluster.fail_over(term, now + 1.0);
         for n in 2..4 {
-            cluster.heartbeat(&mut w, "n", now + f64::from(n));
+            cluster.heartbeat(&mut worker, "n", now + f64::from(n));
         }
         cluster.leader.audit().unwrap();
         let ended = [3, 7, 12].iter().filter(|of| **of <= term).count();
         let done = (ended == 3).then_some(JobState::Done);
-        assert_eq!(cluster.store.ended("wk-000001"), done, "term {term}");
-        assert_eq!(w.running(), 3 - ended, "term {term}");
+        assert_eq!(cluster.store.final_state("wk-000001"), done, "term {term}");
+        assert_eq!(worker.running(), 3 - ended, "term {term}");
     }
     assert!(!cluster.store.records.contains_key(&keys::job("wk-000001")));
 }
@@ -175,7 +177,7 @@
     let before = 1.0 + cluster.leader.timing.worker_lease_s;
     for (term, away_s) in [(2u32, 0.5), (3, 8.0), (4, 60.0)] {
         for w in &mut workers {
-            w.session += 1;
+            w.incarnation += 1;
             w.tasks.clear();
         }
         let at = before + away_s + 100.0 * f64::from(term);
@@ -204,9 +206,11 @@
 /// that its sender learns from the entry alone what became of it.
 #[test]
 fn a_duplicate_ledger_transaction_is_rejected_and_changes_nothing() {
-    let (mut cluster, mut w) = (TestCluster::new(), Worker::new("vm-1"));
+    let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
     cluster.submit(&job("wk-000001", 2), 0.0);
-    cluster.leader.take_heartbeat("n", &w.report(), &[], 1.0);
+    cluster
+        .leader
+        .take_heartbeat("n", &worker.next_heartbeat(), &[], 1.0);
     cluster.leader.place_pending(1.0);
     let first = cluster.leader.ledger_batch().unwrap();
     let copy = first.txn.clone();
@@ -224,11 +228,11 @@
         "it isn't known what was written"
     );
     cluster.reread();
-    cluster.heartbeat(&mut w, "n", 2.0);
-    assert_eq!(w.running(), 2);
+    cluster.heartbeat(&mut worker, "n", 2.0);
+    assert_eq!(worker.running(), 2);
     cluster.submit(&job("wk-000002", 2), 3.0);
-    cluster.heartbeat(&mut w, "n", 3.0);
-    assert_eq!(w.running(), 4);
+    cluster.heartbeat(&mut worker, "n", 3.0);
+    assert_eq!(worker.running(), 4);
     let (rows, held) = (marks(&cluster.store), cluster.leader.placements_held());
     let WriteOutcome::Conflict(failed) = cluster.store.apply(&copy) else {
         panic!("written again after newer entries");
--- a/crates/control/tests/restarted_controllers.rs
+++ b/crates/control/tests/restarted_controllers.rs
@@ -27,7 +27,9 @@
     cluster.heartbeat(&mut silent, "n1", 1.0);
     assert_eq!(silent.running(), 2);
     let leader_s = cluster.leader.timing.leader_lease_s;
-    let mut next = cluster.store.elect_over(settings(), 2, leader_s, 5.0);
+    let mut next = cluster
+        .store
+        .elect_with_overlap(settings(), 2, leader_s, 5.0);
     // The last lease that the earlier process grants, to an owner that the new one can't reach.
     let mut owner = ShardOwner::default();
     let last = 5.0 + leader_s - 0.1;
@@ -38,8 +40,8 @@
     let mut now = 6.0;
     while now < runs_until {
         next.autoscale(now);
-        let mut w = Worker::new(&format!("vm-2{now:.0}"));
-        heartbeat(&mut next, &mut cluster.store, &mut w, "n2", now);
+        let mut worker = Worker::new(&format!("vm-2{now:.0}"));
+        exchange_heartbeat(&mut next, &mut cluster.store, &mut worker, "n2", now);
         let there = next.placements_held().iter().all(|(on, ..)| on == "vm-1");
         assert!(there, "at {now}: they run until {runs_until}");
         now += 1.0;
@@ -47,8 +49,8 @@
     let over =
         5.0 + leader_s + next.timing.shard_lease_bound_s() + next.timing.tasks_gone_after_s() + 0.5;
     next.autoscale(over);
-    let mut w = Worker::new("vm-3");
-    heartbeat(&mut next, &mut cluster.store, &mut w, "n2", over);
+    let mut worker = Worker::new("vm-3");
+    exchange_heartbeat(&mut next, &mut cluster.store, &mut worker, "n2", over);
     let held = next.placements_held();
     assert!(held.len() == 2 && held.iter().all(|(on, ..)| on != "vm-1"));
 }
@@ -57,8 +59,8 @@
 /// a late grant of that term neither replaces nor extends those of the new one.
 #[test]
 fn shard_leases_of_an_earlier_term_give_way_to_those_of_the_new_term() {
-    let (mut cluster, mut w) = (TestCluster::new(), Worker::new("vm-1"));
-    cluster.heartbeat(&mut w, "n2", 1.0);
+    let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
+    cluster.heartbeat(&mut worker, "n2", 1.0);
     let mut follower = ShardOwner::default();
     let grant_s = cluster.leader.timing.shard_lease_s;
     let give = |h: &mut ShardOwner, block: Vec<(String, u64)>, sent: f64| {
@@ -70,7 +72,7 @@
     give(&mut follower, old.clone(), 1.5);
     let former = follower.valid_token("vm-1", 2.0).unwrap();
     cluster.fail_over(2, 2.0);
-    cluster.heartbeat(&mut w, "n2", 2.5);
+    cluster.heartbeat(&mut worker, "n2", 2.5);
     give(&mut follower, cluster.leader.extend_shard("n2", 3.0), 3.0);
     let token = follower.valid_token("vm-1", 3.5).unwrap();
     assert!(token > former);
@@ -84,10 +86,10 @@
 /// machines are still leased to it, and are never free.
 #[test]
 fn a_restarted_follower_gets_its_shard_back_with_its_first_hello() {
-    let (mut cluster, mut w) = (TestCluster::new(), Worker::new("vm-1"));
+    let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
     cluster.submit(&job("wk-000001", 2), 0.0);
-    cluster.heartbeat(&mut w, "n2", 1.0);
-    assert_eq!(w.running(), 2);
+    cluster.heartbeat(&mut worker, "n2", 1.0);
+    assert_eq!(worker.running(), 2);
     let mut reborn = ShardOwner::default();
     assert_eq!(
         reborn.valid_token("vm-1", 1.3),
@@ -99,8 +101,8 @@
     }
     assert!(reborn.valid_token("vm-1", 1.5).is_some());
     // Its worker's heartbeat, under the same token, changes nothing that runs.
-    cluster.heartbeat(&mut w, "n2", 1.6);
-    assert_eq!(w.running(), 2);
+    cluster.heartbeat(&mut worker, "n2", 1.6);
+    assert_eq!(worker.running(), 2);
     assert_eq!(cluster.leader.placements_held().len(), 2);
     cluster.leader.audit().unwrap();
 }
@@ -118,8 +120,11 @@
         let id = format!("wk-{life:06}");
         cluster.submit(&wide(&id, 30), now);
         // As far as this leader knows the machine of the last term is full.
-        let r = Worker::new(&format!("vm-{life}")).report();
-        let token = cluster.leader.take_heartbeat("n1", &r, &[], now).unwrap();
+        let heartbeat = Worker::new(&format!("vm-{life}")).next_heartbeat();
+        let token = cluster
+            .leader
+            .take_heartbeat("n1", &heartbeat, &[], now)
+            .unwrap();
         assert!(tokens.insert(token) && tokens.last() == Some(&token));
         cluster.leader.place_pending(now);
         while let Some(batch) = cluster.leader.ledger_batch() {
@@ -132,14 +137,18 @@
             assert!(matches!(outcome, WriteOutcome::Applied(_)));
             cluster.leader.ledger_batch_done(batch, &outcome);
         }
-        for c in cluster.leader.heartbeat_commands(&r, now) {
+        for c in cluster.leader.heartbeat_commands(&heartbeat, now) {
             if let Command::Start { attempt, .. } = c {
                 attempts.insert((attempt, life));
             }
         }
         for call in cluster.leader.autoscale(now) {
-            if let CloudCall::Rent(r) = call {
-                assert!(rentals.insert(r.request_id.clone()), "{}", r.request_id);
+            if let CloudCall::Rent(heartbeat) = call {
+                assert!(
+                    rentals.insert(heartbeat.request_id.clone()),
+                    "{}",
+                    heartbeat.request_id
+                );
             }
         }
         cluster.store.cancel(&id);
--- a/crates/control/tests/shard_owner.rs
+++ b/crates/control/tests/shard_owner.rs
@@ -21,14 +21,14 @@
 #[test]
 fn run_times_come_from_consecutive_heartbeats_of_one_incarnation() {
     let mut owner = ShardOwner::default();
-    let report = |session, seq, state, why| Heartbeat {
+    let report = |incarnation, sequence, state, why| Heartbeat {
         machine: "vm-1".into(),
         address: String::new(),
         machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
-        incarnation: session,
-        sequence: seq,
+        incarnation,
+        sequence,
         fencing_token: 0,
         spot_notice_s: None,
         tasks: vec![TaskStatus {
@@ -51,7 +51,7 @@
     );
     assert!(
         owner.observe_heartbeat(&exited, 32.0).is_empty(),
-        "a repeat teaches nothing"
+        "a repeated heartbeat gives no run time"
     );
     assert!(
         owner
@@ -62,7 +62,7 @@
     let other = report(2, 5, TaskState::Exited, Some(ExitCause::Done));
     assert!(
         owner.observe_heartbeat(&other, 40.0).is_empty(),
-        "another session's task"
+        "the task ran in another incarnation"
     );
 }
 
--- a/crates/control/tests/silent_machines.rs
+++ b/crates/control/tests/silent_machines.rs
@@ -11,11 +11,18 @@
 const LEASE_S: f64 = 10.0;
 
 /// A direct command arrives at its worker, which answers with its status.
-fn obey(cluster: &mut TestCluster, w: &mut Worker, orders: &DirectCommands, now: f64) {
-    if orders.fencing_token >= w.token && orders.incarnation == w.session {
-        w.obey(orders.fencing_token, &orders.commands);
+fn execute_commands(
+    cluster: &mut TestCluster,
+    worker: &mut Worker,
+    orders: &DirectCommands,
+    now: f64,
+) {
+    if orders.fencing_token >= worker.fencing_token && orders.incarnation == worker.incarnation {
+        worker.execute_commands(orders.fencing_token, &orders.commands);
     }
-    cluster.leader.take_direct_status(&w.report(), now);
+    cluster
+        .leader
+        .take_direct_status(&worker.next_heartbeat(), now);
 }
 
 /// What the leader sends straight to the machine: starts, and stops.
@@ -35,18 +42,18 @@
 /// command was sent.
 #[test]
 fn cancelled_work_on_a_silent_machine_is_stopped_by_a_direct_command() {
-    let (mut cluster, mut w) = TestCluster::with_running_job(2);
+    let (mut cluster, mut worker) = TestCluster::with_running_job(2);
     cluster.cancel("wk-000001");
     assert!(
         cluster.leader.due_direct_stops(3.0).is_empty(),
         "its next report is due: the answer has the stop"
     );
     let mut now = 3.0;
-    while w.running() > 0 {
+    while worker.running() > 0 {
         now += 1.0;
         assert!(now < 2.0 + LEASE_S, "its lease had to end it");
         for orders in direct(&mut cluster.leader, now) {
-            obey(&mut cluster, &mut w, &orders, now);
+            execute_commands(&mut cluster, &mut worker, &orders, now);
         }
     }
     assert!(
@@ -55,14 +62,14 @@
     );
     cluster.leader.audit().unwrap();
     // It is told to forget its tasks once its heartbeats arrive again, and nothing is lost by that.
-    cluster.heartbeat(&mut w, "n1", 12.0);
-    assert!(w.tasks.is_empty());
+    cluster.heartbeat(&mut worker, "n1", 12.0);
+    assert!(worker.tasks.is_empty());
 }
 
 /// The machine's address is in the cloud's list, and what runs there in the ledger.
 #[test]
 fn a_new_leader_stops_cancelled_work_on_a_machine_it_never_heard_from() {
-    let (mut cluster, mut w) = TestCluster::with_running_job(2);
+    let (mut cluster, mut worker) = TestCluster::with_running_job(2);
     cluster.fail_over(2, 3.0);
     cluster.cancel("wk-000001");
     let listed = |state| ListedMachine {
@@ -83,9 +90,9 @@
     );
     let stops = cluster.leader.due_direct_stops(6.0);
     assert_eq!(stops[0].address, "10.1.0.1:9000");
-    obey(&mut cluster, &mut w, &stops[0].commands, 6.0);
+    execute_commands(&mut cluster, &mut worker, &stops[0].commands, 6.0);
     assert_eq!(
-        (w.running(), cluster.leader.placements_held().len()),
+        (worker.running(), cluster.leader.placements_held().len()),
         (0, 0)
     );
     assert!(
@@ -93,9 +100,9 @@
         "nothing is renewed by that"
     );
     // Its first heartbeat is taken as such.
-    cluster.heartbeat(&mut w, "n1", 8.0);
-    cluster.heartbeat(&mut w, "n1", 9.0);
-    assert!(w.tasks.is_empty());
+    cluster.heartbeat(&mut worker, "n1", 8.0);
+    cluster.heartbeat(&mut worker, "n1", 9.0);
+    assert!(worker.tasks.is_empty());
     cluster.leader.audit().unwrap();
 }
 
@@ -119,9 +126,9 @@
 #[test]
 fn answers_to_direct_commands_extend_no_lease() {
     let over = |answers: bool| {
-        let (mut cluster, mut w) = TestCluster::with_running_job(2);
+        let (mut cluster, mut worker) = TestCluster::with_running_job(2);
         cluster.submit(&job("wk-000002", 1), 2.0);
-        cluster.heartbeat(&mut w, "n1", 2.5);
+        cluster.heartbeat(&mut worker, "n1", 2.5);
         cluster.cancel("wk-000001");
         let mut now = 2.5;
         let mut in_block = 0.0;
@@ -136,7 +143,9 @@
             );
             if answers {
                 // Executed or not, it answers with its status.
-                cluster.leader.take_direct_status(&w.report(), now);
+                cluster
+                    .leader
+                    .take_direct_status(&worker.next_heartbeat(), now);
                 cluster.leader.place_pending(now);
             }
             if cluster
@@ -175,9 +184,12 @@
     cluster.fail_over(2, 4.0);
     for n in 5..12 {
         let now = f64::from(n);
-        let r = deaf.report();
-        cluster.leader.take_heartbeat("n1", &r, &[], now).unwrap();
-        cluster.leader.heartbeat_commands(&r, now);
+        let heartbeat = deaf.next_heartbeat();
+        cluster
+            .leader
+            .take_heartbeat("n1", &heartbeat, &[], now)
+            .unwrap();
+        cluster.leader.heartbeat_commands(&heartbeat, now);
         cluster.leader.place_pending(now);
         cluster.write_all_at(now);
         cluster.leader.autoscale(now);
@@ -193,11 +205,14 @@
     // Both leases are over. The one that receives nothing says so, in a new incarnation under an
     // old token.
     for w in [&mut mute, &mut deaf] {
-        w.session += 1;
+        w.incarnation += 1;
         w.tasks.clear();
     }
-    let r = deaf.report();
-    cluster.leader.take_heartbeat("n1", &r, &[], 13.0).unwrap();
+    let heartbeat = deaf.next_heartbeat();
+    cluster
+        .leader
+        .take_heartbeat("n1", &heartbeat, &[], 13.0)
+        .unwrap();
     assert_eq!(
         cluster.placements_on("vm-1"),
         4,
@@ -220,13 +235,17 @@
 /// A task that exited on a silent machine before its stop came is done, not stopped.
 #[test]
 fn an_answer_to_a_direct_command_counts_finished_tasks() {
-    let (mut cluster, mut w) = TestCluster::with_running_job(2);
-    w.tasks[0].exit = Some(ExitCause::Done);
-    cluster.leader.take_direct_status(&w.report(), 8.0);
+    let (mut cluster, mut worker) = TestCluster::with_running_job(2);
+    worker.tasks[0].exit = Some(ExitCause::Done);
+    cluster
+        .leader
+        .take_direct_status(&worker.next_heartbeat(), 8.0);
     assert_eq!(cluster.leader.task_counts("wk-000001", 8.0), Some((1, 1)));
     // An older status brings nothing back.
-    w.tasks[0].exit = None;
-    cluster.leader.take_direct_status(&w.report(), 8.5);
+    worker.tasks[0].exit = None;
+    cluster
+        .leader
+        .take_direct_status(&worker.next_heartbeat(), 8.5);
     assert_eq!(
         (
             cluster.leader.placements_held().len(),
--- a/crates/control/tests/size.rs
+++ b/crates/control/tests/size.rs
@@ -29,29 +29,29 @@
 }
 
 /// All machines report to this holder, and are answered.
-fn all_report(l: &mut Leader, workers: &mut [Worker], holder: &str, now: f64) {
+fn all_report(leader: &mut Leader, workers: &mut [Worker], holder: &str, now: f64) {
     for w in workers {
-        let r = w.report();
-        let token = l.take_heartbeat(holder, &r, &[], now).unwrap();
-        let commands = l.heartbeat_commands(&r, now);
-        w.obey(token, &commands);
+        let heartbeat = w.next_heartbeat();
+        let token = leader.take_heartbeat(holder, &heartbeat, &[], now).unwrap();
+        let commands = leader.heartbeat_commands(&heartbeat, now);
+        w.execute_commands(token, &commands);
     }
 }
 
 /// A leader of so many machines that have images of 28 names.
-fn with_images(s: &mut Store, machines: usize) -> Leader {
-    let mut l = s.elect(1, 0.0);
-    all_report(&mut l, &mut fleet(machines), "n1", 1.0);
+fn with_images(store: &mut Store, machines: usize) -> Leader {
+    let mut leader = store.elect(1, 0.0);
+    all_report(&mut leader, &mut fleet(machines), "n1", 1.0);
     for image in 0..28 {
         let spec = Submission {
             image: format!("img-{image}"),
             image_gb: 0.1,
             ..wide(image, machines as u32 / 7)
         };
-        submit(&mut l, s, &spec, 1.5);
+        submit(&mut leader, store, &spec, 1.5);
     }
-    l.place_pending(2.0);
-    l
+    leader.place_pending(2.0);
+    leader
 }
 
 /// Machines that each image is on.
@@ -79,9 +79,9 @@
 /// until none is left it gets what one value holds.
 #[test]
 fn images_of_5000_machines_reach_the_next_leader_once_all_controllers_read_parts() {
-    let mut s = Store::default();
-    let mut l = with_images(&mut s, 5_000);
-    let value = l.image_snapshot(60.0);
+    let mut store = Store::default();
+    let mut leader = with_images(&mut store, 5_000);
+    let value = leader.image_snapshot(60.0);
     assert!(json_size(&value) <= VALUE, "{}", json_size(&value));
     let names = value.machine_names();
     assert!(names.len() >= 2_650, "{}", names.len());
@@ -90,8 +90,8 @@
 
     let mut kept = settings().state.kept();
     kept.enable_chunks();
-    l.set_store_limits(kept);
-    let value = l.image_snapshot(60.0);
+    leader.set_store_limits(kept);
+    let value = leader.image_snapshot(60.0);
     assert_eq!(value.machine_names().len(), 5_000);
     assert_eq!(value.images.len(), 28);
     let placed: usize = spread(&value).iter().map(|(_, n)| n).sum();
@@ -101,8 +101,8 @@
         assert!(texts.len() < 64, "{} parts of {most}", texts.len());
         assert_eq!(join_chunks::<ImageCacheRecord>(&texts).as_ref(), Ok(&value));
     }
-    s.put(keys::IMAGES, StoredRecord::ImageCache(value.clone()));
-    let mut next = s.elect(2, 61.0);
+    store.put(keys::IMAGES, StoredRecord::ImageCache(value.clone()));
+    let mut next = store.elect(2, 61.0);
     next.set_store_limits(kept);
     all_report(&mut next, &mut fleet(5_000), "n2", 62.0);
     assert_eq!(spread(&next.image_snapshot(62.0)), spread(&value));
@@ -113,57 +113,57 @@
 #[test]
 fn a_takeover_of_4000_machines_keeps_every_placement() {
     for (value, ops, entries) in [(VALUE, 48, 128), (SMALL_VALUE, 16, 2_048)] {
-        let mut s = Store {
+        let mut store = Store {
             limits: Some((value, ops)),
             ..Store::default()
         };
         let mut settings = settings();
         settings.state.value_kb = value as f64 / 1024.0;
         settings.state.txn_ops = ops;
-        let mut l = s.elect_with(settings.clone(), 1, 0.0);
+        let mut leader = store.elect_with(settings.clone(), 1, 0.0);
         let mut workers = fleet(MACHINES);
-        all_report(&mut l, &mut workers, "n1", 1.0);
+        all_report(&mut leader, &mut workers, "n1", 1.0);
         // Sixteen small tasks a machine, as on the operators' largest type.
         for id in 0..160 {
             let spec = Submission {
                 cpus: 0.5,
                 ..wide(id, 400)
             };
-            submit(&mut l, &mut s, &spec, 2.0);
+            submit(&mut leader, &mut store, &spec, 2.0);
         }
-        l.place_pending(2.0);
-        write_all(&mut l, &mut s);
-        all_report(&mut l, &mut workers, "n1", 2.5);
+        leader.place_pending(2.0);
+        write_all(&mut leader, &mut store);
+        all_report(&mut leader, &mut workers, "n1", 2.5);
         let running: usize = workers.iter().map(Worker::running).sum();
         assert_eq!(running, 64_000);
-        let logged = s.records.keys().filter(|k| k.starts_with(keys::LEDGER));
+        let logged = store.records.keys().filter(|k| k.starts_with(keys::LEDGER));
         let logged = logged.count();
         assert!(logged <= entries, "{logged} entries of {value} bytes");
-        let before = l.placements_held();
-        let mut l = s.elect_with(settings, 2, 5.0);
-        assert_eq!(l.placements_held(), before);
-        submit(&mut l, &mut s, &wide(200, 10), 5.0);
+        let before = leader.placements_held();
+        let mut leader = store.elect_with(settings, 2, 5.0);
+        assert_eq!(leader.placements_held(), before);
+        submit(&mut leader, &mut store, &wide(200, 10), 5.0);
         let silent = MACHINES / 3;
-        all_report(&mut l, &mut workers[silent..], "n2", 6.0);
-        l.place_pending(6.0);
-        write_all(&mut l, &mut s);
+        all_report(&mut leader, &mut workers[silent..], "n2", 6.0);
+        leader.place_pending(6.0);
+        write_all(&mut leader, &mut store);
         assert!(
-            l.placements_held().is_superset(&before),
+            leader.placements_held().is_superset(&before),
             "nothing is given up"
         );
-        assert_eq!(l.audit(), Ok(()));
+        assert_eq!(leader.audit(), Ok(()));
     }
 }
 
 /// The whole block of one controller, as the leader's answer to a hello names it.
 #[test]
 fn a_block_of_4000_machines_is_granted_at_once() {
-    let mut s = Store::default();
-    let mut l = s.elect(1, 0.0);
+    let mut store = Store::default();
+    let mut leader = store.elect(1, 0.0);
     let mut workers = fleet(MACHINES);
-    all_report(&mut l, &mut workers, "n2", 1.0);
-    all_report(&mut l, &mut workers, "n2", 2.0);
-    let block = l.extend_shard("n2", 2.5);
+    all_report(&mut leader, &mut workers, "n2", 1.0);
+    all_report(&mut leader, &mut workers, "n2", 2.0);
+    let block = leader.extend_shard("n2", 2.5);
     assert_eq!(block.len(), MACHINES);
 }
 
@@ -176,9 +176,9 @@
 
 impl Cloud {
     /// Answers what one look at the fleet asks for; returns how many machines came or went.
-    fn answer(&mut self, l: &mut Leader, now: f64) -> usize {
+    fn answer(&mut self, leader: &mut Leader, now: f64) -> usize {
         let mut changed = 0;
-        for call in l.autoscale(now) {
+        for call in leader.autoscale(now) {
             match call {
                 CloudCall::Rent(rent) => {
                     assert!((1..=50).contains(&rent.count), "{}", rent.count);
@@ -188,7 +188,7 @@
                     self.rented += room;
                     changed += room;
                     self.machines.extend(names.clone());
-                    l.rental_answered(&rent, Some(&names), now);
+                    leader.rental_answered(&rent, Some(&names), now);
                 }
                 CloudCall::Delete(names) => {
                     assert!(names.len() <= 100, "{}", names.len());
@@ -196,7 +196,7 @@
                         assert!(self.machines.remove(name), "{name} was deleted before");
                     }
                     changed += names.len();
-                    l.machines_deleted(&names, now);
+                    leader.machines_deleted(&names, now);
                 }
             }
         }
@@ -207,33 +207,33 @@
 /// At 100 machines a second the last of 4,000 went 40 s after the first.
 #[test]
 fn four_thousand_machines_are_rented_and_returned_in_bulk() {
-    let mut s = Store::default();
-    let mut l = s.elect(1, 0.0);
+    let mut store = Store::default();
+    let mut leader = store.elect(1, 0.0);
     let mut cloud = Cloud::default();
     let long = Submission {
         estimate_s: 100.0,
         ..wide(1, 4 * MACHINES as u32)
     };
-    submit(&mut l, &mut s, &long, 0.0);
+    submit(&mut leader, &mut store, &long, 0.0);
     let mut looks = 0;
     while cloud.machines.len() < MACHINES {
         looks += 1;
         assert!(looks <= 60, "{} rented", cloud.machines.len());
-        cloud.answer(&mut l, f64::from(looks));
+        cloud.answer(&mut leader, f64::from(looks));
     }
     // The job is cancelled before anything runs: nothing is wanted any more.
     let mut workers = fleet(MACHINES);
-    all_report(&mut l, &mut workers, "n1", 61.0);
-    s.cancel("wk-000001");
-    l.remove_job("wk-000001");
+    all_report(&mut leader, &mut workers, "n1", 61.0);
+    store.cancel("wk-000001");
+    leader.remove_job("wk-000001");
     let (mut now, mut busy) = (61.0, 0);
     while !cloud.machines.is_empty() {
         now += 1.0;
         assert!(now < 200.0, "{} are left", cloud.machines.len());
-        let there = |w: &Worker| cloud.machines.contains(&w.name);
+        let there = |worker: &Worker| cloud.machines.contains(&worker.name);
         workers.retain(there);
-        all_report(&mut l, &mut workers, "n1", now);
-        busy += usize::from(cloud.answer(&mut l, now) > 0);
+        all_report(&mut leader, &mut workers, "n1", now);
+        busy += usize::from(cloud.answer(&mut leader, now) > 0);
     }
     assert!(busy <= 12, "{busy} looks in which machines were returned");
 }
@@ -241,8 +241,8 @@
 /// A list of the cloud is taken in whole, and what it lacks is given up.
 #[test]
 fn a_list_of_4000_machines_is_taken_in() {
-    let mut s = Store::default();
-    let mut l = s.elect(1, 0.0);
+    let mut store = Store::default();
+    let mut leader = store.elect(1, 0.0);
     let listed = |i: usize| ListedMachine {
         name: format!("vm-{i:06}"),
         address: Some(format!("10.1.{}.{}:9000", i / 250, i % 250)),
@@ -253,10 +253,10 @@
         age_s: 100.0,
     };
     let list: Vec<ListedMachine> = (0..MACHINES).map(listed).collect();
-    l.apply_machine_list(&list, 1.0);
+    leader.apply_machine_list(&list, 1.0);
     assert!(
-        l.summary().contains(&format!("{MACHINES} machines")),
+        leader.summary().contains(&format!("{MACHINES} machines")),
         "{}",
-        l.summary()
+        leader.summary()
     );
 }
--- a/crates/control/tests/stale_heartbeats.rs
+++ b/crates/control/tests/stale_heartbeats.rs
@@ -9,16 +9,16 @@
 use common::*;
 
 /// A machine that runs four tasks, and a heartbeat of it from before it had any.
-fn running(session: u64) -> (TestCluster, Worker, Heartbeat) {
+fn running(incarnation: u64) -> (TestCluster, Worker, Heartbeat) {
     let mut cluster = TestCluster::new();
-    let mut w = Worker::new("vm-1");
-    w.session = session;
-    cluster.heartbeat(&mut w, "n1", 1.0);
-    let old = w.report();
+    let mut worker = Worker::new("vm-1");
+    worker.incarnation = incarnation;
+    cluster.heartbeat(&mut worker, "n1", 1.0);
+    let old = worker.next_heartbeat();
     cluster.submit(&job("wk-000001", 4), 2.0);
-    cluster.heartbeat(&mut w, "n1", 2.0);
-    assert_eq!(w.running(), 4);
-    (cluster, w, old)
+    cluster.heartbeat(&mut worker, "n1", 2.0);
+    assert_eq!(worker.running(), 4);
+    (cluster, worker, old)
 }
 
 /// It arrives at every controller at once. Absence in it proves nothing, only one
@@ -27,7 +27,7 @@
 #[test]
 fn a_stale_heartbeat_as_the_first_one_a_new_leader_hears_frees_nothing() {
     for earlier in [false, true] {
-        let (mut cluster, mut w, old) = running(2);
+        let (mut cluster, mut worker, old) = running(2);
         let old = Heartbeat {
             incarnation: if earlier { 1 } else { 2 },
             ..old
@@ -59,9 +59,9 @@
         );
         // The worker's own heartbeats show its tasks as they were.
         for now in [6.5, 7.5] {
-            cluster.heartbeat(&mut w, "n3", now);
+            cluster.heartbeat(&mut worker, "n3", now);
         }
-        assert_eq!((cluster.placements_on("vm-1"), w.running()), (4, 4));
+        assert_eq!((cluster.placements_on("vm-1"), worker.running()), (4, 4));
         // The copy once more, and more of them: newer ones came before.
         for n in ["n1", "n2", "n3"] {
             assert!(cluster.leader.take_heartbeat(n, &old, &[], 8.0).is_none());
@@ -75,19 +75,19 @@
 /// brings nothing back, and its machine is leased to no one for it.
 #[test]
 fn a_heartbeat_delayed_until_a_new_leader_has_acted_changes_nothing() {
-    let (mut cluster, mut w, _) = running(1);
-    let held_back = w.report();
+    let (mut cluster, mut worker, _) = running(1);
+    let held_back = worker.next_heartbeat();
     cluster.store.cancel("wk-000001");
     cluster.fail_over(2, 5.0);
     for now in [6.0, 7.0, 8.0] {
-        cluster.heartbeat(&mut w, "n2", now);
+        cluster.heartbeat(&mut worker, "n2", now);
     }
-    assert_eq!((w.running(), cluster.placements_on("vm-1")), (0, 0));
+    assert_eq!((worker.running(), cluster.placements_on("vm-1")), (0, 0));
     cluster.submit(&job("wk-000002", 4), 8.0);
     for now in [8.5, 9.5] {
-        cluster.heartbeat(&mut w, "n2", now);
+        cluster.heartbeat(&mut worker, "n2", now);
     }
-    assert_eq!((w.running(), cluster.placements_on("vm-1")), (4, 4));
+    assert_eq!((worker.running(), cluster.placements_on("vm-1")), (4, 4));
     let (held, block) = (
         cluster.leader.placements_held(),
         cluster.leader.extend_shard("n2", 9.6),
@@ -116,16 +116,16 @@
 #[test]
 fn exits_of_an_earlier_attempt_do_not_end_a_later_one() {
     let mut cluster = TestCluster::new();
-    let mut w = Worker::new("vm-1");
+    let mut worker = Worker::new("vm-1");
     cluster.submit(&job("wk-000001", 1), 0.0);
-    cluster.heartbeat(&mut w, "n1", 1.0);
-    cluster.heartbeat(&mut w, "n1", 2.0);
-    w.tasks[0].exit = Some(cherrywood_wire::agent::ExitCause::Error);
-    let copy = w.report();
+    cluster.heartbeat(&mut worker, "n1", 1.0);
+    cluster.heartbeat(&mut worker, "n1", 2.0);
+    worker.tasks[0].exit = Some(cherrywood_wire::agent::ExitCause::Error);
+    let copy = worker.next_heartbeat();
     for now in [3.0, 4.0, 30.0, 31.0, 32.0] {
-        cluster.heartbeat(&mut w, "n1", now);
+        cluster.heartbeat(&mut worker, "n1", now);
     }
-    assert_eq!(w.running(), 1, "a later attempt");
+    assert_eq!(worker.running(), 1, "a later attempt");
     for leader in [&mut cluster.leader, &mut cluster.store.elect(2, 40.0)] {
         leader.take_heartbeat("n3", &copy, &[], 41.0);
         assert_eq!(placements_on(leader, "vm-1"), 1);
@@ -175,15 +175,15 @@
     cluster.fail_over(2, 5.0);
     cluster.heartbeat(&mut former, "n1", 6.0);
     cluster.heartbeat(&mut former, "n1", 7.0);
-    let copy = former.report();
-    let mut w = Worker::new("vm-1");
+    let copy = former.next_heartbeat();
+    let mut worker = Worker::new("vm-1");
     let mut asked = 0;
     for n in 8..16 {
         let now = f64::from(n);
-        cluster.heartbeat(&mut w, "n1", now);
+        cluster.heartbeat(&mut worker, "n1", now);
         for StatusQuery { machine, .. } in cluster.leader.due_status_queries(now) {
             asked += 1;
-            let status = w.report();
+            let status = worker.next_heartbeat();
             cluster
                 .leader
                 .status_query_done(&machine, now, Some(&status), now + 0.1);
@@ -200,7 +200,7 @@
         "it is heard"
     );
     assert_eq!(
-        (cluster.placements_on("vm-1"), w.running()),
+        (cluster.placements_on("vm-1"), worker.running()),
         (4, 4),
         "what it lost runs again"
     );
@@ -218,14 +218,14 @@
     assert_eq!(placements_on(&next, "vm-1"), 4, "they run on");
     for n in 18..30 {
         let now = f64::from(n);
-        heartbeat(&mut next, &mut cluster.store, &mut w, "n1", now);
+        exchange_heartbeat(&mut next, &mut cluster.store, &mut worker, "n1", now);
         for StatusQuery { machine, .. } in next.due_status_queries(now) {
-            let status = w.report();
+            let status = worker.next_heartbeat();
             next.status_query_done(&machine, now, Some(&status), now + 0.1);
         }
     }
     assert_eq!(
-        (placements_on(&next, "vm-1"), w.running()),
+        (placements_on(&next, "vm-1"), worker.running()),
         (4, 4),
         "taken back here too"
     );
@@ -246,15 +246,17 @@
     let copy = Heartbeat {
         incarnation: 9,
         tasks: Vec::new(),
-        ..former.report()
+        ..former.next_heartbeat()
     };
-    let mut w = Worker::new("vm-1");
-    cluster.leader.take_heartbeat("n1", &w.report(), &[], 12.0);
+    let mut worker = Worker::new("vm-1");
+    cluster
+        .leader
+        .take_heartbeat("n1", &worker.next_heartbeat(), &[], 12.0);
     let question = cluster.leader.due_status_queries(12.1);
     assert_eq!(question.len(), 1);
     cluster
         .leader
-        .status_query_done("vm-1", 12.1, Some(&w.report()), 12.2);
+        .status_query_done("vm-1", 12.1, Some(&worker.next_heartbeat()), 12.2);
     assert_eq!(
         cluster.placements_on("vm-1"),
         4,
@@ -278,19 +280,22 @@
     assert_eq!(cluster.placements_on("vm-1"), 4);
     // The high number of that copy hides the worker's heartbeats: it is queried again.
     let mut now = 12.5;
-    while cluster.placements_on("vm-1") == 4 && w.running() == 0 {
+    while cluster.placements_on("vm-1") == 4 && worker.running() == 0 {
         now += 1.0;
         assert!(now < 20.0, "not taken back");
-        cluster.heartbeat(&mut w, "n1", now);
+        cluster.heartbeat(&mut worker, "n1", now);
         for StatusQuery { machine, .. } in cluster.leader.due_status_queries(now) {
-            cluster
-                .leader
-                .status_query_done(&machine, now, Some(&w.report()), now + 0.1);
+            cluster.leader.status_query_done(
+                &machine,
+                now,
+                Some(&worker.next_heartbeat()),
+                now + 0.1,
+            );
         }
     }
-    cluster.heartbeat(&mut w, "n1", now + 1.0);
-    cluster.heartbeat(&mut w, "n1", now + 2.0);
-    assert_eq!((cluster.placements_on("vm-1"), w.running()), (4, 4));
+    cluster.heartbeat(&mut worker, "n1", now + 1.0);
+    cluster.heartbeat(&mut worker, "n1", now + 2.0);
+    assert_eq!((cluster.placements_on("vm-1"), worker.running()), (4, 4));
     cluster.leader.audit().unwrap();
 }
 
@@ -298,12 +303,12 @@
 /// after a newer heartbeat, or without a query.
 #[test]
 fn a_status_query_to_a_worker_that_did_not_restart_changes_nothing() {
-    let (mut cluster, mut w, _) = running(1);
+    let (mut cluster, mut worker, _) = running(1);
     cluster.fail_over(2, 5.0);
     for now in [6.0, 7.0] {
-        cluster.heartbeat(&mut w, "n1", now);
+        cluster.heartbeat(&mut worker, "n1", now);
     }
-    let (late, early) = (w.report(), w.report());
+    let (late, early) = (worker.next_heartbeat(), worker.next_heartbeat());
     assert!(
         cluster
             .leader
@@ -322,9 +327,11 @@
         "one at a time"
     );
     let before = cluster.leader.placements_held();
-    let stale = w.report();
+    let stale = worker.next_heartbeat();
     // A heartbeat comes before the answer; then answers without a query.
-    let token = cluster.leader.take_heartbeat("n1", &w.report(), &[], 12.3);
+    let token = cluster
+        .leader
+        .take_heartbeat("n1", &worker.next_heartbeat(), &[], 12.3);
     assert!(token.is_some());
     cluster
         .leader
@@ -339,18 +346,23 @@
     assert!(
         cluster
             .leader
-            .take_heartbeat("n1", &w.report(), &[], 13.0)
+            .take_heartbeat("n1", &worker.next_heartbeat(), &[], 13.0)
             .is_some(),
         "it counts on"
     );
     // Another machine has the address now.
     cluster.leader.take_heartbeat("n1", &late, &[], 20.0);
     assert_eq!(cluster.leader.due_status_queries(20.1).len(), 1);
-    cluster
-        .leader
-        .status_query_done("vm-1", 20.1, Some(&Worker::new("vm-7").report()), 20.2);
+    cluster.leader.status_query_done(
+        "vm-1",
+        20.1,
+        Some(&Worker::new("vm-7").next_heartbeat()),
+        20.2,
+    );
     assert_eq!(
-        cluster.leader.take_heartbeat("n1", &w.report(), &[], 21.0),
+        cluster
+            .leader
+            .take_heartbeat("n1", &worker.next_heartbeat(), &[], 21.0),
         token
     );
     assert_eq!(cluster.leader.placements_held(), before);
--- a/crates/control/tests/starvation.rs
+++ b/crates/control/tests/starvation.rs
@@ -63,7 +63,7 @@
 
     fn with(settings: Settings) -> QuotaLimitedTeam {
         let mut store = Store {
-            tells_time: true,
+            has_wall_clock: true,
             ..Store::default()
         };
         let leader = store.elect_with(settings, 1, 0.0);
@@ -115,10 +115,10 @@
                     t.exit = Some(ExitCause::Done);
                 }
             }
-            heartbeat(&mut self.leader, &mut self.store, worker, "n1", now);
+            exchange_heartbeat(&mut self.leader, &mut self.store, worker, "n1", now);
         }
         let store = &self.store;
-        self.watched.retain(|id| store.ended(id).is_none());
+        self.watched.retain(|id| store.final_state(id).is_none());
         self.waits.note(&self.leader, &self.watched, now);
     }
 
--- a/crates/control/tests/team_quotas.rs
+++ b/crates/control/tests/team_quotas.rs
@@ -66,7 +66,7 @@
 
 /// A heartbeat that arrives, and a response that doesn't.
 fn heartbeat_without_response(cluster: &mut TestCluster, worker: &mut Worker, now: f64) {
-    let report = worker.report();
+    let report = worker.next_heartbeat();
     if cluster
         .leader
         .take_heartbeat("n", &report, &[], now)
@@ -179,7 +179,7 @@
             assert_eq!(worker.running(), others, "{team}: over its limit at {now}");
         }
         unreachable.tasks.clear();
-        unreachable.session += 1;
+        unreachable.incarnation += 1;
         while worker.running() == others {
             now += 0.5;
             delete_unreachable(&mut cluster.leader, now);
@@ -415,7 +415,7 @@
         for worker in &mut unreachable {
             if now == 12.0 {
                 worker.tasks.clear();
-                worker.session += 1;
+                worker.incarnation += 1;
             }
             heartbeat_without_response(&mut cluster, worker, now);
         }
