--- a/crates/control/tests/unacknowledged_commands.rs
+++ b/crates/control/tests/unacknowledged_commands.rs
@@ -8,18 +8,18 @@
 
 /// Heartbeats of a worker that receives no responses; its lease ends at 11 s, and every
 /// 10 s after that.
-fn unheard(leader: &mut Leader, w: &mut Worker, from: f64, to: f64) {
+fn unheard(leader: &mut Leader, worker: &mut Worker, from: f64, to: f64) {
     let mut now = from;
     while now < to {
         if now as u64 % 10 == 1 {
-            w.session += 1;
-            w.tasks.clear();
+            worker.incarnation += 1;
+            worker.tasks.clear();
         }
-        let r = w.report();
+        let heartbeat = worker.next_heartbeat();
         // It tries one controller after the other.
         let owner = ["n1", "n2"][now as usize % 2];
-        leader.take_heartbeat(owner, &r, &[], now);
-        leader.heartbeat_commands(&r, now);
+        leader.take_heartbeat(owner, &heartbeat, &[], now);
+        leader.heartbeat_commands(&heartbeat, now);
         leader.place_pending(now);
         now += 1.0;
     }
@@ -52,9 +52,9 @@
     // A heartbeat that shows the newest token takes it back.
     let mut back = cluster.store.elect(2, 15.0);
     unheard(&mut back, &mut deaf, 15.0, 22.0);
-    deaf.token = u64::MAX >> 8;
+    deaf.fencing_token = u64::MAX >> 8;
     for n in 0..3 {
-        heartbeat(
+        exchange_heartbeat(
             &mut back,
             &mut cluster.store,
             &mut deaf,
@@ -64,18 +64,19 @@
     }
     assert!(placements_on(&back, "vm-1") > 0);
     // Otherwise it is deleted, once its lease is over for certain.
-    deaf.token = 0;
+    deaf.fencing_token = 0;
     let mut calls = Vec::new();
     cluster.fail_over(3, 30.0);
     later = 30.0;
     while later < 46.0 {
         unheard(&mut cluster.leader, &mut deaf, later, later + 1.0);
-        for w in ["vm-2", "vm-3", "vm-4", "vm-5"] {
-            let mut w = Worker::new(w);
-            (w.session, w.seq, w.token) = (9, later as u64 * 2, u64::MAX >> 8);
+        for worker in ["vm-2", "vm-3", "vm-4", "vm-5"] {
+            let mut worker = Worker::new(worker);
+            (worker.incarnation, worker.sequence, worker.fencing_token) =
+                (9, later as u64 * 2, u64::MAX >> 8);
             cluster
                 .leader
-                .take_heartbeat("n1", &w.report(), &[], later)
+                .take_heartbeat("n1", &worker.next_heartbeat(), &[], later)
                 .unwrap();
         }
         calls.extend(cluster.leader.autoscale(later));
@@ -89,11 +90,11 @@
 #[test]
 fn a_duplicate_heartbeat_proves_nothing() {
     let mut cluster = TestCluster::new();
-    let mut w = Worker::new("vm-1");
+    let mut worker = Worker::new("vm-1");
     cluster.submit(&job("wk-000001", 4), 0.0);
-    cluster.heartbeat(&mut w, "n1", 1.0);
-    cluster.heartbeat(&mut w, "n1", 2.0);
-    let copy = w.report();
+    cluster.heartbeat(&mut worker, "n1", 1.0);
+    cluster.heartbeat(&mut worker, "n1", 2.0);
+    let copy = worker.next_heartbeat();
     assert!(
         cluster
             .leader
@@ -131,19 +132,19 @@
 #[test]
 fn a_duplicate_heartbeat_from_before_a_worker_restart_frees_nothing() {
     let mut cluster = TestCluster::new();
-    let mut w = Worker::new("vm-1");
-    w.session = 5;
-    cluster.heartbeat(&mut w, "n1", 1.0);
-    cluster.heartbeat(&mut w, "n1", 2.0);
-    let copy = w.report();
+    let mut worker = Worker::new("vm-1");
+    worker.incarnation = 5;
+    cluster.heartbeat(&mut worker, "n1", 1.0);
+    cluster.heartbeat(&mut worker, "n1", 2.0);
+    let copy = worker.next_heartbeat();
     // It restarted; the next leader knows nothing of the time before.
     cluster.fail_over(2, 10.0);
-    let mut w = Worker::new("vm-1");
+    let mut worker = Worker::new("vm-1");
     cluster.submit(&job("wk-000001", 4), 10.0);
-    cluster.heartbeat(&mut w, "n1", 11.0);
-    cluster.heartbeat(&mut w, "n1", 12.0);
+    cluster.heartbeat(&mut worker, "n1", 11.0);
+    cluster.heartbeat(&mut worker, "n1", 12.0);
     assert_eq!(
-        (w.running(), cluster.leader.placements_held().len()),
+        (worker.running(), cluster.leader.placements_held().len()),
         (4, 4)
     );
     cluster.leader.take_heartbeat("n1", &copy, &[], 13.0);
@@ -159,14 +160,17 @@
 #[test]
 fn a_machine_that_moves_between_controllers_counts_as_receiving_responses() {
     let mut cluster = TestCluster::new();
-    let mut w = Worker::new("vm-1");
+    let mut worker = Worker::new("vm-1");
     cluster.submit(&job("wk-000001", 4), 0.0);
     for n in 0..40u32 {
         let now = f64::from(n);
         let owner = ["n1", "n2", "n3"][n as usize % 3];
-        let r = w.report();
-        let token = cluster.leader.take_heartbeat(owner, &r, &[], now).unwrap();
-        cluster.leader.heartbeat_commands(&r, now);
+        let heartbeat = worker.next_heartbeat();
+        let token = cluster
+            .leader
+            .take_heartbeat(owner, &heartbeat, &[], now)
+            .unwrap();
+        cluster.leader.heartbeat_commands(&heartbeat, now);
         cluster.leader.place_pending(now);
         assert!(
             cluster
@@ -175,7 +179,7 @@
                 .iter()
                 .all(|c| !format!("{c:?}").contains("Delete"))
         );
-        w.token = token;
+        worker.fencing_token = token;
     }
     cluster.write_all_at(40.0);
     assert_eq!(cluster.leader.placements_held().len(), 4, "it takes work");
