--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who is served, and what is admitted, while more is wanted than can be done.
+//! Scheduling and admission under overload.
 
 mod common;
 
@@ -10,14 +10,14 @@
 use cherrywood_wire::user::{Priority, Submission};
 use common::*;
 
-/// s that each task runs.
+/// Run time of each task, s.
 const RUN_S: f64 = 10.0;
 
 struct Fleet {
     store: Store,
     leader: Leader,
     workers: Vec<Worker>,
-    /// Ends of the tasks that run, by worker and attempt.
+    /// End times of the started tasks, with worker and task.
     ends: Vec<(usize, String, f64)>,
     next: u32,
 }
@@ -47,8 +47,8 @@
         submit(&mut self.leader, &mut self.store, &spec, now);
     }
 
-    /// Tasks that have run long enough end, and every worker reports.
-    fn second(&mut self, now: f64) {
+    /// Advances to `now`: completes tasks and sends a heartbeat of every worker.
+    fn step(&mut self, now: f64) {
         for (i, w) in self.workers.iter_mut().enumerate() {
             for t in w.tasks.iter_mut().filter(|t| t.is_running()) {
                 let known = self.ends.iter().find(|e| e.0 == i && e.1 == t.task);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Jobs of the class that are done, from the leader's summary.
+    /// Number of done jobs of the class, from the leader's summary.
     fn done(&self, class: &str) -> usize {
         let summary = self.leader.summary();
         let cell = format!("wide/{class} ");
@@ -72,62 +72,63 @@
     }
 }
 
-/// Two machines, urgent work for four, and a few jobs of the lowest rank.
-fn flooded(floors: bool) -> (usize, usize) {
+/// Runs two machines with high-priority work for four and a few low-priority jobs. Returns the
+/// numbers of done low-priority and high-priority jobs.
+fn done_under_overload(floors: bool) -> (usize, usize) {
     let mut settings = settings();
     settings.policy.admission.floors = floors;
-    let mut f = Fleet::new(settings, 2);
+    let mut fleet = Fleet::new(settings, 2);
     for n in 0..10 {
-        f.submit("later", Priority::Low, 2, f64::from(n));
+        fleet.submit("later", Priority::Low, 2, f64::from(n));
     }
-    for s in 0..400 {
-        let now = 10.0 + f64::from(s);
-        if s % 5 == 0 {
-            f.submit("flood", Priority::High, 8, now);
+    for second in 0..400 {
+        let now = 10.0 + f64::from(second);
+        if second % 5 == 0 {
+            fleet.submit("flood", Priority::High, 8, now);
         }
-        f.second(now);
+        fleet.step(now);
     }
-    (f.done("later"), f.done("flood"))
+    (fleet.done("later"), fleet.done("flood"))
 }
 
 #[test]
-fn a_class_of_lower_rank_gets_its_floor_while_a_higher_one_floods() {
+fn a_low_priority_class_gets_its_minimum_share_while_high_priority_work_overloads_the_machines() {
     assert_eq!(
-        flooded(false).0,
+        done_under_overload(false).0,
         0,
-        "rank alone: each is begun, and nothing of it is ever done"
+        "by priority alone each job is begun, and none is ever done"
     );
-    let (later, flood) = flooded(true);
-    // Of both classes less than half can be done here: neither is served by less than the
-    // other, give or take a job.
+    let (later, flood) = done_under_overload(true);
+    // Less than half of both classes can be done here. The low-priority class gets no smaller
+    // fraction done than the other, to within one job.
     let share = |done: usize, of: usize| done as f64 / of as f64;
     assert!(
         share(later + 1, 10) >= share(flood, 80),
         "{later} of 10 done"
     );
-    // A part of what comes free, not all of it: 400 s of 8 tasks at a time are 40
-    // jobs of the flood's.
+    // The minimum share is a part of the capacity: in 400 s with 8 tasks at a time 40
+    // high-priority jobs could be done.
     assert!(flood >= 28, "{flood} of the flood");
 }
 
-/// A large array of the lowest rank among smaller urgent jobs that keep coming, by rank
-/// alone: it waited for as long as they did. Half of that is asked for.
+/// Without minimum shares, a large low-priority array could wait for as long as smaller
+/// high-priority jobs keep arriving.
 #[test]
-fn a_large_array_begins_within_four_minutes_whatever_keeps_coming() {
+fn a_large_low_priority_array_begins_within_four_minutes_while_high_priority_jobs_arrive() {
     let mut settings = settings();
     settings.policy.admission.floors = false;
-    let mut f = Fleet::new(settings, 2);
+    let mut fleet = Fleet::new(settings, 2);
     let mut began = None;
-    for s in 0..240 {
-        let now = f64::from(s);
-        if s % 5 == 0 {
-            f.submit("flood", Priority::High, 8, now);
+    for second in 0..240 {
+        let now = f64::from(second);
+        if second % 5 == 0 {
+            fleet.submit("flood", Priority::High, 8, now);
         }
-        if s == 20 {
-            f.submit("large", Priority::Low, 500, now);
+        if second == 20 {
+            fleet.submit("large", Priority::Low, 500, now);
         }
-        f.second(now);
-        let held = f.leader.placements_held();
+        fleet.step(now);
+        let held = fleet.leader.placements_held();
         if began.is_none() && held.iter().any(|h| h.1.starts_with("wk-000006/")) {
             began = Some((
                 now,
@@ -137,26 +138,27 @@
             ));
         }
     }
-    let (at, tasks) = began.expect("it began");
+    let (at, tasks) = began.expect("no task of the array began");
     assert!(at - 20.0 < 150.0 && tasks == 1, "{tasks} at {at}");
 }
 
-/// Three in four CPUs that come free go on in the order of ranks.
+/// Three of four CPUs that become free are still given in the order of priorities.
 #[test]
-fn floors_take_no_more_than_their_part() {
-    let mut f = Fleet::new(settings(), 4);
+fn minimum_shares_take_no_more_than_a_quarter_of_the_capacity() {
+    let mut fleet = Fleet::new(settings(), 4);
     for n in 0..200 {
-        f.submit("later", Priority::Low, 2, f64::from(n) * 0.01);
+        fleet.submit("later", Priority::Low, 2, f64::from(n) * 0.01);
     }
-    for s in 0..300 {
-        let now = 10.0 + f64::from(s);
-        if s % 2 == 0 {
-            f.submit("flood", Priority::High, 8, now);
+    for second in 0..300 {
+        let now = 10.0 + f64::from(second);
+        if second % 2 == 0 {
+            fleet.submit("flood", Priority::High, 8, now);
         }
-        f.second(now);
+        fleet.step(now);
     }
-    // From 90 s on, when they count as late: 16 tasks each 10 s, a quarter of them.
-    let (later, flood) = (f.done("later") * 2, f.done("flood") * 8);
+    // Low-priority jobs count as late from 90 s on; then a quarter of the 16 tasks per 10 s is
+    // theirs.
+    let (later, flood) = (fleet.done("later") * 2, fleet.done("flood") * 8);
     let part = later as f64 / (later + flood) as f64;
     assert!((0.08..0.27).contains(&part), "{later} tasks beside {flood}");
 }
@@ -169,28 +171,35 @@
     }
 }
 
-/// The cloud has no more, and three times what can be done in the aims' time waits.
+/// A cloud without further machines and a backlog of three times the work that can be done within
+/// the objectives.
 fn overloaded() -> (Fleet, f64) {
-    let mut f = Fleet::new(settings(), 2);
+    let mut fleet = Fleet::new(settings(), 2);
     let mut now = 0.0;
-    for s in 0..200 {
-        now = f64::from(s);
-        f.submit("c", Priority::Normal, if s % 4 == 0 { 100 } else { 8 }, now);
-        f.second(now);
-        refuse_all(&mut f.leader, now);
-        f.leader.publish_admission_table(Vec::new(), now);
+    for second in 0..200 {
+        now = f64::from(second);
+        fleet.submit(
+            "c",
+            Priority::Normal,
+            if second % 4 == 0 { 100 } else { 8 },
+            now,
+        );
+        fleet.step(now);
+        refuse_all(&mut fleet.leader, now);
+        fleet.leader.publish_admission_table(Vec::new(), now);
     }
-    (f, now)
+    (fleet, now)
 }
 
 #[test]
-fn a_full_fleet_with_a_full_backlog_shuts_its_gates_and_a_growing_one_opens_them() {
-    let (mut f, now) = overloaded();
-    let table = f.leader.admission_table().clone();
-    // One for the cell, and one for its largest tenth.
+fn admission_gates_close_with_all_machines_and_the_backlog_full_and_open_when_machines_are_rented()
+{
+    let (mut fleet, now) = overloaded();
+    let table = fleet.leader.admission_table().clone();
+    // One gate for the cell and one for its largest tenth.
     assert_eq!((table.shortage, table.gates.len()), (Shortage::Machines, 2));
-    // Every controller puts the same work to a job: the learned median, not what its
-    // owner says.
+    // Every controller computes the same work for a job, from the learned median instead of the
+    // submission's estimate.
     let spec = Submission {
         team: "wide".into(),
         estimate_s: 9999.0,
@@ -198,61 +207,65 @@
     };
     assert!(
         table.median_runtimes.is_empty(),
-        "nobody measured run times here"
+        "no run times were measured"
     );
     assert_eq!(work_by_table(&table, &spec), 2.0 * 8.0 * 9999.0);
-    let mut taught = table.clone();
-    taught.median_runtimes = vec![MedianRuntime {
+    let mut with_median = table.clone();
+    with_median.median_runtimes = vec![MedianRuntime {
         key_hash: stable_hash(&spec.predictor_key()),
         median_s: 10.0,
     }];
-    assert_eq!(work_by_table(&taught, &spec), 160.0);
-    // Machines come: nothing is short any more.
-    for call in f.leader.autoscale(now + 20.0) {
+    assert_eq!(work_by_table(&with_median, &spec), 160.0);
+    // Machines are rented, so there is no shortage any more.
+    for call in fleet.leader.autoscale(now + 20.0) {
         if let CloudCall::Rent(rent) = call {
             let names: Vec<String> = (0..rent.count).map(|n| format!("vm-9{n:03}")).collect();
-            f.leader.rental_answered(&rent, Some(&names), now + 20.0);
+            fleet
+                .leader
+                .rental_answered(&rent, Some(&names), now + 20.0);
         }
     }
-    f.leader.publish_admission_table(Vec::new(), now + 21.0);
-    assert_eq!(f.leader.admission_table().gates, []);
-    assert!(f.leader.admission_table().version() > table.version());
+    fleet.leader.publish_admission_table(Vec::new(), now + 21.0);
+    assert_eq!(fleet.leader.admission_table().gates, []);
+    assert!(fleet.leader.admission_table().version() > table.version());
 }
 
-/// A leader that stood still comes back with its old table; the next one's is newer
-/// whatever its generation, and starts from the gates that are in force.
+/// A stalled leader continues with its old admission table. The next leader's table is newer
+/// whatever its generation, and starts from the gates in force.
 #[test]
-fn the_next_leader_keeps_the_gates_and_outranks_the_old_tables() {
-    let (mut f, now) = overloaded();
-    let old = f.leader.admission_table().clone();
-    let value = f.leader.admission_value();
-    f.store
+fn the_next_leader_keeps_the_gates_and_its_table_is_newer_than_those_of_the_old_leader() {
+    let (mut fleet, now) = overloaded();
+    let old = fleet.leader.admission_table().clone();
+    let value = fleet.leader.admission_value();
+    fleet
+        .store
         .put(keys::ADMISSION, StoredRecord::Admission(Box::new(value)));
-    let mut next = f.store.elect(2, now + 5.0);
+    let mut next = fleet.store.elect(2, now + 5.0);
     assert_eq!(next.admission_table().gates, old.gates);
     assert!(next.admission_table().version() > old.version());
-    // The old one thaws and makes more tables: none of them outranks the next's.
-    f.leader.publish_admission_table(Vec::new(), now + 30.0);
-    assert!(next.admission_table().version() > f.leader.admission_table().version());
-    // The backlog is known from the state service: it doesn't open by itself.
+    // The old leader continues and publishes more tables: all are older than the next leader's.
+    fleet.leader.publish_admission_table(Vec::new(), now + 30.0);
+    assert!(next.admission_table().version() > fleet.leader.admission_table().version());
+    // The next leader knows the backlog from the key-value store, so the gates stay closed.
     let mut worker = Worker::new("vm-000");
-    exchange_heartbeat(&mut next, &mut f.store, &mut worker, "n2", now + 6.0);
+    exchange_heartbeat(&mut next, &mut fleet.store, &mut worker, "n2", now + 6.0);
     refuse_all(&mut next, now + 6.0);
     next.publish_admission_table(Vec::new(), now + 6.0);
     assert_eq!(next.admission_table().gates.len(), 2, "{}", next.summary());
-    // With its own offers it makes its own gates.
-    f.leader = next;
-    for s in 7..20 {
-        f.submit("c", Priority::Normal, 8, now + f64::from(s));
-        f.second(now + f64::from(s));
-        refuse_all(&mut f.leader, now + f64::from(s));
-        f.leader
-            .publish_admission_table(Vec::new(), now + f64::from(s));
+    // With the work that it is offered itself it computes its own gates.
+    fleet.leader = next;
+    for second in 7..20 {
+        fleet.submit("c", Priority::Normal, 8, now + f64::from(second));
+        fleet.step(now + f64::from(second));
+        refuse_all(&mut fleet.leader, now + f64::from(second));
+        fleet
+            .leader
+            .publish_admission_table(Vec::new(), now + f64::from(second));
     }
     assert_eq!(
-        f.leader.admission_table().gates.len(),
+        fleet.leader.admission_table().gates.len(),
         1,
         "{}",
-        f.leader.summary()
+        fleet.leader.summary()
     );
 }
--- a/crates/control/tests/cancelled_starts.rs
+++ b/crates/control/tests/cancelled_starts.rs
@@ -1,6 +1,6 @@
-//! No start is sent for a job that the leader knows to be cancelled, wherever the start
-//! stood when the cancellation came: planned, being written, in doubt, written,
-//! rejected by the machine, lost with its response, or recovered.
+//! No start is sent for a job that the leader knows to be cancelled, whatever the state of the
+//! start at the cancellation: planned, being written, in doubt, written, rejected by the machine,
+//! lost with its response, or recovered.
 
 mod common;
 
@@ -10,81 +10,84 @@
 
 const JOB: &str = "wk-000001";
 
-/// Where the start stands when its job is cancelled.
+/// State of the start when its job is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Stand {
+enum StartState {
     Waiting,
     Planned,
     Writing,
-    Doubt,
+    InDoubt,
     Refused,
     Written,
-    /// Sent straight to the machine, which was of another incarnation or had seen a newer token.
-    TurnedAway,
-    /// Sent straight to the machine, without an answer.
+    /// Sent as a direct command and rejected: the worker had another incarnation or had seen a
+    /// newer token.
+    Rejected,
+    /// Sent as a direct command without a response.
     Unanswered,
-    /// In a response that was lost.
-    AnswerLost,
-    /// Written by the last leader.
-    Inherited,
+    /// Sent in a response that was lost.
+    ResponseLost,
+    /// Written by the previous leader.
+    Recovered,
 }
 
-const STANDS: [Stand; 10] = [
-    Stand::Waiting,
-    Stand::Planned,
-    Stand::Writing,
-    Stand::Doubt,
-    Stand::Refused,
-    Stand::Written,
-    Stand::TurnedAway,
-    Stand::Unanswered,
-    Stand::AnswerLost,
-    Stand::Inherited,
+const START_STATES: [StartState; 10] = [
+    StartState::Waiting,
+    StartState::Planned,
+    StartState::Writing,
+    StartState::InDoubt,
+    StartState::Refused,
+    StartState::Written,
+    StartState::Rejected,
+    StartState::Unanswered,
+    StartState::ResponseLost,
+    StartState::Recovered,
 ];
 
-/// Fills the team's limit with a job whose start stands so; returns a write that may still be
-/// under way.
-fn brought_to(stand: Stand, worker: &mut Worker) -> (TestCluster, Option<LedgerBatch>) {
+/// Fills the team's quota with a job whose start is in this state; returns the cluster and the
+/// ledger transaction that is still being written, if any.
+fn cluster_in(start_state: StartState, worker: &mut Worker) -> (TestCluster, Option<LedgerBatch>) {
     let mut cluster = TestCluster::new();
-    let report = worker.next_heartbeat();
-    cluster.leader.take_heartbeat("n", &report, &[], 1.0);
+    let heartbeat = worker.next_heartbeat();
+    cluster.leader.take_heartbeat("n", &heartbeat, &[], 1.0);
     cluster.submit(&job(JOB, 8), 1.0);
-    if stand == Stand::Waiting {
+    if start_state == StartState::Waiting {
         return (cluster, None);
     }
     cluster.leader.place_pending(1.0);
-    if stand == Stand::Planned {
+    if start_state == StartState::Planned {
         return (cluster, None);
     }
     let batch = cluster.leader.ledger_batch().unwrap();
-    if stand == Stand::Writing {
+    if start_state == StartState::Writing {
         cluster.store.apply(&batch.txn);
         return (cluster, Some(batch));
     }
-    let outcome = match stand {
-        Stand::Refused => WriteOutcome::Refused,
+    let outcome = match start_state {
+        StartState::Refused => WriteOutcome::Refused,
         _ => cluster.store.apply(&batch.txn),
     };
-    let told = if stand == Stand::Doubt {
+    let reported = if start_state == StartState::InDoubt {
         WriteOutcome::Unknown
     } else {
         outcome
     };
-    cluster.leader.ledger_batch_done(batch, &told);
-    let outcome = match stand {
-        Stand::TurnedAway => CommandOutcome::NotExecuted,
-        Stand::Unanswered => CommandOutcome::Unknown,
-        Stand::AnswerLost => {
+    cluster.leader.ledger_batch_done(batch, &reported);
+    let outcome = match start_state {
+        StartState::Rejected => CommandOutcome::NotExecuted,
+        StartState::Unanswered => CommandOutcome::Unknown,
+        StartState::ResponseLost => {
             cluster
                 .leader
                 .take_heartbeat("n", &worker.next_heartbeat(), &[], 1.5);
-            let last = worker.next_heartbeat();
-            cluster.leader.take_heartbeat("n", &last, &[], 2.0);
-            let commands = cluster.leader.heartbeat_commands(&last, 2.0);
+            let last_heartbeat = worker.next_heartbeat();
+            cluster
+                .leader
+                .take_heartbeat("n", &last_heartbeat, &[], 2.0);
+            let commands = cluster.leader.heartbeat_commands(&last_heartbeat, 2.0);
             assert!(commands.iter().any(starts));
             return (cluster, None);
         }
-        Stand::Inherited => {
+        StartState::Recovered => {
             cluster.fail_over(2, 2.0);
             return (cluster, None);
         }
@@ -108,17 +111,20 @@
     matches!(command, Command::Start { task, .. } if task.starts_with(JOB))
 }
 
-fn assert_none(commands: &[Command], stand: Stand, now: f64) {
-    assert!(!commands.iter().any(starts), "{stand:?}: started at {now}");
+fn assert_no_start(commands: &[Command], start_state: StartState, now: f64) {
+    assert!(
+        !commands.iter().any(starts),
+        "{start_state:?}: started at {now}"
+    );
 }
 
 #[test]
 fn no_start_is_sent_for_a_job_that_is_known_to_be_cancelled() {
-    for stand in STANDS {
+    for start_state in START_STATES {
         let mut worker = Worker::new("vm-1");
-        let (mut cluster, under_way) = brought_to(stand, &mut worker);
+        let (mut cluster, batch_in_flight) = cluster_in(start_state, &mut worker);
         cluster.cancel(JOB);
-        if let Some(batch) = under_way {
+        if let Some(batch) = batch_in_flight {
             cluster
                 .leader
                 .ledger_batch_done(batch, &WriteOutcome::Applied(cluster.store.revision));
@@ -135,28 +141,28 @@
                 .into_values()
                 .flatten()
             {
-                assert_none(&due.commands.commands, stand, now);
+                assert_no_start(&due.commands.commands, start_state, now);
                 worker.execute_commands(due.commands.fencing_token, &due.commands.commands);
             }
-            let report = worker.next_heartbeat();
+            let heartbeat = worker.next_heartbeat();
             let token = cluster
                 .leader
-                .take_heartbeat("n", &report, &[], now)
+                .take_heartbeat("n", &heartbeat, &[], now)
                 .unwrap();
-            let commands = cluster.leader.heartbeat_commands(&report, now);
-            assert_none(&commands, stand, now);
+            let commands = cluster.leader.heartbeat_commands(&heartbeat, now);
+            assert_no_start(&commands, start_state, now);
             worker.execute_commands(token, &commands);
             cluster.leader.audit().unwrap();
         }
-        // Nothing of it counts any more: the next job runs in its place.
+        // The cancelled job no longer counts towards the quota, so the next job runs.
         assert!(
             cluster
                 .leader
                 .placements_held()
                 .iter()
                 .all(|(_, task, _)| !task.starts_with(JOB)),
-            "{stand:?}"
+            "{start_state:?}"
         );
-        assert_eq!(worker.running(), 4, "{stand:?}");
+        assert_eq!(worker.running(), 4, "{start_state:?}");
     }
 }
--- a/crates/control/tests/compound_failures.rs
+++ b/crates/control/tests/compound_failures.rs
@@ -304,36 +304,36 @@
         let Some(Machine { worker, .. }) = found else {
             return false;
         };
-        let mine = commands.incarnation == worker.incarnation
+        let is_valid = commands.incarnation == worker.incarnation
             && commands.fencing_token >= worker.fencing_token;
-        if mine {
+        if is_valid {
             worker.execute_commands(commands.fencing_token, &commands.commands);
         }
         self.check();
-        mine
+        is_valid
     }
 
     fn heartbeat(&mut self, at: usize, with_faults: bool) {
-        let report = self.machines[at].worker.next_heartbeat();
+        let heartbeat = self.machines[at].worker.next_heartbeat();
         let sent = self.now;
         if with_faults && self.chance(0.1) {
             // The heartbeat arrives late; its response is lost.
             let late = self.now + self.rng.random_range(2.0..30.0);
-            self.late_heartbeats.push((late, report));
+            self.late_heartbeats.push((late, heartbeat));
             return;
         }
         if with_faults && self.chance(0.2) {
             let late = self.now + self.rng.random_range(2.0..30.0);
-            self.late_heartbeats.push((late, report.clone()));
+            self.late_heartbeats.push((late, heartbeat.clone()));
         }
-        let Some(token) = self.leader.take_heartbeat("n", &report, &[], self.now) else {
+        let Some(token) = self.leader.take_heartbeat("n", &heartbeat, &[], self.now) else {
             return;
         };
         self.leader.place_pending(self.now);
         self.write_batches(with_faults);
-        let commands = self.leader.heartbeat_commands(&report, self.now);
+        let commands = self.leader.heartbeat_commands(&heartbeat, self.now);
         self.check_starts(&commands);
-        self.check_forgets(&report, &commands);
+        self.check_forgets(&heartbeat, &commands);
         if self.machines[at].link == Link::ReceivesNothing || with_faults && self.chance(0.15) {
             self.record("response lost");
             return;
@@ -362,17 +362,17 @@
 
     /// Asserts that the completion of a task is in the key-value store before the worker is told
     /// to forget the task.
-    fn check_forgets(&self, report: &Heartbeat, commands: &[Command]) {
+    fn check_forgets(&self, heartbeat: &Heartbeat, commands: &[Command]) {
         for c in commands {
             let Command::Forget { task, attempt } = c else {
                 continue;
             };
-            let of = report
+            let status = heartbeat
                 .tasks
                 .iter()
                 .find(|t| t.task == *task && t.attempt == *attempt);
             let (id, n) = task.split_once('/').unwrap();
-            if of.is_none_or(|t| t.exit_cause != Some(ExitCause::Done))
+            if status.is_none_or(|t| t.exit_cause != Some(ExitCause::Done))
                 || self.store.final_state(id).is_some()
             {
                 continue;
@@ -457,9 +457,12 @@
             let outside = by_zone.keys().any(|z| bound.is_some_and(|b| b != *z));
             assert!(!outside, "{id} outside its zone: {by_zone:?}");
             assert!(!job.single_zone || by_zone.len() == 1, "{id}: {by_zone:?}");
-            let most = by_zone.values().max().copied().unwrap_or(0);
+            let largest = by_zone.values().max().copied().unwrap_or(0);
             let half = job.tasks.div_ceil(2);
-            assert!(!job.spread_over_zones || most <= half, "{id}: {by_zone:?}");
+            assert!(
+                !job.spread_over_zones || largest <= half,
+                "{id}: {by_zone:?}"
+            );
         }
     }
 
@@ -519,15 +522,15 @@
         if now < self.controllers_down_until {
             return;
         }
-        let reports: Vec<_> = self.late_heartbeats.extract_if(.., |r| due(r.0)).collect();
-        for (_, report) in reports {
+        let heartbeats: Vec<_> = self.late_heartbeats.extract_if(.., |r| due(r.0)).collect();
+        for (_, heartbeat) in heartbeats {
             if self
                 .leader
-                .take_heartbeat("other", &report, &[], now)
+                .take_heartbeat("other", &heartbeat, &[], now)
                 .is_some()
             {
                 self.record("old heartbeat taken");
-                let commands = self.leader.heartbeat_commands(&report, now);
+                let commands = self.leader.heartbeat_commands(&heartbeat, now);
                 self.check_starts(&commands);
             }
         }
@@ -757,14 +760,14 @@
         let waiting: Vec<String> = self.leader.live_job_ids();
         for id in waiting {
             let job = &self.ground_truth.jobs[&id];
-            let on: Vec<_> = self
+            let running: Vec<_> = self
                 .running()
                 .into_iter()
                 .filter(|r| r.0.id == id)
                 .collect();
             let done = self.ground_truth.done.get(&id).map_or(0, BTreeSet::len);
-            let waits = on.len() + done < job.tasks as usize;
-            if waits && self.has_room(job, &on) {
+            let waits = running.len() + done < job.tasks as usize;
+            if waits && self.has_room(job, &running) {
                 let since = *self.waiting_since.entry(id.clone()).or_insert(self.now);
                 let waited = self.now - since;
                 assert!(
@@ -784,9 +787,9 @@
             .find(|t| t.name == job.team);
         let used = self.used().get(job.team.as_str()).copied();
         let (cpus, gpus) = used.unwrap_or_default();
-        let under =
+        let is_under_quota =
             team.is_some_and(|t| cpus + job.cpus <= t.cpus_max && gpus + job.gpus <= t.gpus_max);
-        under
+        is_under_quota
             && self
                 .machines
                 .iter()
@@ -800,7 +803,7 @@
         on: &[(&Submission, &str, &str)],
     ) -> bool {
         let zone = m.worker.zone.as_str();
-        let here = on.iter().filter(|r| r.2 == zone).count();
+        let tasks_in_zone = on.iter().filter(|r| r.2 == zone).count();
         let mut used = (0.0, 0.0);
         for t in m.worker.tasks.iter().filter(|t| t.is_running()) {
             let other = &self.ground_truth.jobs[t.task.split_once('/').unwrap().0];
@@ -810,8 +813,8 @@
             && used.0 + job.cpus <= 8.0
             && used.1 + job.gpus <= 4.0
             && job.zone.as_ref().is_none_or(|z| z == zone)
-            && (!job.single_zone || here == on.len())
-            && (!job.spread_over_zones || here < job.tasks.div_ceil(2) as usize)
+            && (!job.single_zone || tasks_in_zone == on.len())
+            && (!job.spread_over_zones || tasks_in_zone < job.tasks.div_ceil(2) as usize)
     }
 
     fn run(&mut self) {
--- a/crates/control/tests/controller_failovers.rs
+++ b/crates/control/tests/controller_failovers.rs
@@ -156,19 +156,19 @@
 
     /// Whether the key-value store serves this controller.
     fn is_served(&self, n: usize) -> bool {
-        let own = n == 0 && self.is_zone_partitioned();
+        let is_cut_off = n == 0 && self.is_zone_partitioned();
         self.is_up(n)
             && self.outage_until <= self.now
             && self.controllers[n].refused_until <= self.now
-            && !own
+            && !is_cut_off
     }
 
     fn are_linked(&self, a: usize, b: usize) -> bool {
-        let own = self.is_zone_partitioned() && (a == 0) != (b == 0);
-        let partitioned_until = [a, b]
+        let are_separated = self.is_zone_partitioned() && (a == 0) != (b == 0);
+        let is_partitioned = [a, b]
             .iter()
             .any(|n| self.controllers[*n].partitioned_until > self.now);
-        a == b || self.is_up(a) && self.is_up(b) && !own && !partitioned_until
+        a == b || self.is_up(a) && self.is_up(b) && !are_separated && !is_partitioned
     }
 
     fn can_reach(&self, machine: usize, n: usize) -> bool {
@@ -202,12 +202,16 @@
                 continue;
             }
             // If an earlier process of this controller held the key, that lease is ended at once.
-            let own = self.key.as_ref().is_some_and(|k| k.controller == n);
-            if self.key.is_some() && !own {
+            let was_held_before = self.key.as_ref().is_some_and(|k| k.controller == n);
+            if self.key.is_some() && !was_held_before {
                 continue;
             }
             self.term += 1;
-            let overlap = if own { self.timing.leader_lease_s } else { 0.0 };
+            let overlap = if was_held_before {
+                self.timing.leader_lease_s
+            } else {
+                0.0
+            };
             let until = now + self.timing.leader_lease_s;
             let lease = self.term;
             self.key = Some(Key {
@@ -235,10 +239,10 @@
             return;
         }
         let (now, timing) = (self.now, self.timing);
-        let mine = self.key.as_mut().filter(|k| k.lease == lease);
+        let own_key = self.key.as_mut().filter(|k| k.lease == lease);
         let controller = &mut self.controllers[n];
         let deposed = controller.leader.as_ref().is_some_and(|l| l.deposed);
-        match mine {
+        match own_key {
             Some(key) if !deposed => {
                 key.until = now + timing.leader_lease_s;
                 controller.leadership.lease_renewed(lease, now, &timing);
@@ -429,13 +433,13 @@
 
     fn execute_commands(&mut self, at: usize, commands: &DirectCommands) -> bool {
         let worker = &mut self.machines[at].worker;
-        let mine = commands.incarnation == worker.incarnation
+        let is_valid = commands.incarnation == worker.incarnation
             && commands.fencing_token >= worker.fencing_token;
-        if mine {
+        if is_valid {
             worker.execute_commands(commands.fencing_token, &commands.commands);
         }
         self.check();
-        mine
+        is_valid
     }
 
     // --- heartbeats ---
@@ -514,8 +518,8 @@
                     continue;
                 }
                 let leader = self.controllers[k].leader.as_mut();
-                let block = leader.map(|l| l.extend_shard(&format!("n{n}"), now));
-                for (machine, token) in block.unwrap_or_default() {
+                let leases = leader.map(|l| l.extend_shard(&format!("n{n}"), now));
+                for (machine, token) in leases.unwrap_or_default() {
                     let owner = &mut self.controllers[n].owner;
                     owner.lease_granted(&machine, token, now, self.timing.shard_lease_s);
                 }
@@ -528,33 +532,36 @@
     fn inject_fault(&mut self) {
         let now = self.now;
         let n = self.rng.random_range(0..CONTROLLERS);
-        let late = now + self.rng.random_range(1.0..30.0);
-        let soon = now + self.rng.random_range(0.2..6.0);
+        let long_until = now + self.rng.random_range(1.0..30.0);
+        let short_until = now + self.rng.random_range(0.2..6.0);
         match self.rng.random_range(0..11) {
             0 | 1 => {
                 let leads = (0..CONTROLLERS).find(|k| self.controllers[*k].leader.is_some());
                 let n = leads.unwrap_or(n);
-                self.fail_controller(n, soon);
+                self.fail_controller(n, short_until);
+            }
+            2 => {
+                (0..CONTROLLERS)
+                    .for_each(|n| self.fail_controller(n, short_until + n as f64 * 0.5));
             }
-            2 => (0..CONTROLLERS).for_each(|n| self.fail_controller(n, soon + n as f64 * 0.5)),
-            3 => self.controllers[n].refused_until = late,
-            4 => self.controllers[n].watch_refused_until = late,
+            3 => self.controllers[n].refused_until = long_until,
+            4 => self.controllers[n].watch_refused_until = long_until,
             5 => {
-                self.controllers[n].refused_until = late;
-                self.controllers[n].partitioned_until = late;
+                self.controllers[n].refused_until = long_until;
+                self.controllers[n].partitioned_until = long_until;
             }
             6 => {
                 // Up to the expiry of every shard lease and worker lease there.
                 self.zone_partitioned_until = now + self.rng.random_range(5.0..40.0);
                 self.record("zone partitioned");
             }
-            7 => self.outage_until = late,
+            7 => self.outage_until = long_until,
             _ => {
                 let at = self.rng.random_range(0..MACHINES);
                 let m = &mut self.machines[at];
                 match self.rng.random_bool(0.5) {
-                    true => m.sends_nothing_until = late,
-                    false => m.receives_nothing_until = late,
+                    true => m.sends_nothing_until = long_until,
+                    false => m.receives_nothing_until = long_until,
                 }
                 self.record("one-way partition of a machine");
                 let name = self.machines[at].worker.name.clone();
--- a/crates/control/tests/crossing_commands.rs
+++ b/crates/control/tests/crossing_commands.rs
@@ -1,5 +1,5 @@
-//! Starts, stops and forgets that cross one another, and heartbeats of another
-//! incarnation than their machine's placements.
+//! Starts, stops and forgets that cross one another in transit, and heartbeats of another
+//! incarnation than the placements of their machine.
 
 mod common;
 
@@ -8,21 +8,21 @@
 use cherrywood_wire::agent::{Command, DirectCommands, ExitCause, Heartbeat};
 use common::*;
 
-/// The one direct command that the leader has, and its machine.
-fn order(leader: &mut Leader, now: f64) -> Option<(String, DirectCommands)> {
+/// Returns the only due direct commands of the leader, with their machine.
+fn direct_commands(leader: &mut Leader, now: f64) -> Option<(String, DirectCommands)> {
     let mut all = leader.due_direct_commands(now).into_values().flatten();
-    let one = all.next().map(|due| (due.machine, due.commands));
-    assert!(all.next().is_none(), "one at a time");
-    one
+    let due = all.next().map(|due| (due.machine, due.commands));
+    assert!(all.next().is_none(), "at most one is due");
+    due
 }
 
-fn stops(commands: &[Command]) -> usize {
+fn count_stops(commands: &[Command]) -> usize {
     let stop = |c: &&Command| matches!(c, Command::Stop { .. });
     commands.iter().filter(stop).count()
 }
 
-/// A machine that is up, and a job of one task in the ledger, not yet started.
-fn placed() -> (TestCluster, Worker) {
+/// A cluster with one machine and a job of one task that is in the ledger and not yet started.
+fn cluster_with_placement() -> (TestCluster, Worker) {
     let mut cluster = TestCluster::new();
     let mut worker = Worker::new("vm-1");
     cluster.heartbeat(&mut worker, "n1", 1.0);
@@ -33,27 +33,33 @@
     (cluster, worker)
 }
 
-/// A start was in a response to a heartbeat while a direct one of the same attempt was
-/// on its way, which the worker rejected for its older token. The placement was then
-/// taken for never started, and the end of its job was followed by no stop.
+/// The response to a heartbeat carries a start while a direct start of the same attempt is in
+/// transit, which the worker rejects for its older token. If the placement were then taken for
+/// never started, no stop would follow the cancellation of its job.
 #[test]
 fn a_start_sent_in_a_response_counts_as_sent_although_the_direct_one_was_rejected() {
-    let (mut cluster, mut worker) = placed();
-    let (machine, direct) = order(&mut cluster.leader, 1.1).unwrap();
+    let (mut cluster, mut worker) = cluster_with_placement();
+    let (machine, direct) = direct_commands(&mut cluster.leader, 1.1).unwrap();
     // The worker moves to another controller, whose response has a newer token.
     let heartbeat = worker.next_heartbeat();
     let token = cluster
         .leader
         .take_heartbeat("n2", &heartbeat, &[], 1.5)
         .unwrap();
-    let answer = cluster.leader.heartbeat_commands(&heartbeat, 1.5);
-    assert!(matches!(answer[..], [Command::Start { .. }]), "{answer:?}");
-    // Its next heartbeat crosses that response; the direct start is rejected.
+    let commands = cluster.leader.heartbeat_commands(&heartbeat, 1.5);
+    assert!(
+        matches!(commands[..], [Command::Start { .. }]),
+        "{commands:?}"
+    );
+    // The worker's next heartbeat crosses that response; the direct start is rejected.
     cluster
         .leader
         .direct_commands_done(&machine, &direct, CommandOutcome::NotExecuted);
-    worker.execute_commands(token, &answer);
-    assert!(order(&mut cluster.leader, 1.6).is_none(), "it was started");
+    worker.execute_commands(token, &commands);
+    assert!(
+        direct_commands(&mut cluster.leader, 1.6).is_none(),
+        "the task was started"
+    );
     cluster.cancel("wk-000001");
     let crossing = Heartbeat {
         tasks: Vec::new(),
@@ -63,14 +69,17 @@
         .leader
         .take_heartbeat("n2", &crossing, &[], 2.0)
         .unwrap();
-    assert_eq!(stops(&cluster.leader.heartbeat_commands(&crossing, 2.0)), 1);
+    assert_eq!(
+        count_stops(&cluster.leader.heartbeat_commands(&crossing, 2.0)),
+        1
+    );
     assert_eq!(cluster.leader.placements_held().len(), 1);
     cluster.leader.audit().unwrap();
 }
 
-/// Tasks placed together share an attempt, and may stand in two ledger entries, so that
-/// two direct commands with it are on their way. The answer to one was taken for both:
-/// the other's task was given up while its start could still arrive.
+/// Tasks placed together share an attempt number and may be in two ledger entries, so that two
+/// direct commands with it are in transit. If the outcome of one were taken for both, the task of
+/// the other would be given up while its start could still arrive.
 #[test]
 fn the_outcome_of_one_direct_command_does_not_settle_another_of_the_same_attempt() {
     let mut cluster = TestCluster::new();
@@ -79,13 +88,14 @@
     cluster.submit(&job("wk-000001", 2), 1.0);
     cluster.leader.place_pending(1.0);
     cluster.write_all();
-    let (machine, both) = order(&mut cluster.leader, 1.1).unwrap();
+    let (machine, both) = direct_commands(&mut cluster.leader, 1.1).unwrap();
     assert_eq!(both.commands.len(), 2);
     let [first, second] = [0, 1].map(|n| DirectCommands {
         commands: vec![both.commands[n].clone()],
         ..both.clone()
     });
-    // The second is executed, exits at once and is reported; the first is held up.
+    // The second start is executed, and its task exits at once and is in the next heartbeat; the
+    // first start is delayed.
     worker.execute_commands(second.fencing_token, &second.commands);
     cluster
         .leader
@@ -99,15 +109,15 @@
             .leader
             .take_heartbeat("n1", &heartbeat, &[], now)
             .unwrap();
-        let answer = cluster.leader.heartbeat_commands(&heartbeat, now);
-        worker.execute_commands(token, &answer);
+        let commands = cluster.leader.heartbeat_commands(&heartbeat, now);
+        worker.execute_commands(token, &commands);
     }
     assert_eq!(
         cluster.leader.placements_held().len(),
         1,
-        "its start may still arrive"
+        "the start may still arrive"
     );
-    // Its outcome is unknown: a new token fences it.
+    // The outcome of the first start is unknown, so a new token fences it.
     cluster
         .leader
         .direct_commands_done(&machine, &first, CommandOutcome::Unknown);
@@ -120,10 +130,10 @@
     cluster.leader.audit().unwrap();
 }
 
-/// The cancellation comes before the start, or between the start and its answer, with
-/// each outcome of the start: nothing runs on, and nothing is counted for good.
+/// The cancellation arrives before the start, or between the start and its response, with each
+/// outcome of the start. No task runs on, and no placement is left.
 #[test]
-fn a_cancellation_between_ledger_write_start_and_answer_leaves_nothing_running() {
+fn a_cancellation_between_ledger_write_start_and_response_leaves_nothing_running() {
     for outcome in [
         CommandOutcome::Executed,
         CommandOutcome::NotExecuted,
@@ -131,34 +141,41 @@
     ] {
         for late in [false, true] {
             for cancel_first in [false, true] {
-                let (mut cluster, mut worker) = placed();
+                let (mut cluster, mut worker) = cluster_with_placement();
                 if cancel_first {
                     cluster.cancel("wk-000001");
                 }
-                let direct = order(&mut cluster.leader, 1.1);
-                assert_eq!(direct.is_none(), cancel_first, "no start after its cancel");
+                let direct = direct_commands(&mut cluster.leader, 1.1);
+                assert_eq!(
+                    direct.is_none(),
+                    cancel_first,
+                    "no start after the cancellation"
+                );
                 if !cancel_first {
                     cluster.cancel("wk-000001");
                 }
                 let reaches = outcome == CommandOutcome::Executed
                     || outcome == CommandOutcome::Unknown && !late;
-                if let Some((machine, orders)) = &direct {
+                if let Some((machine, direct_commands_sent)) = &direct {
                     if reaches {
-                        worker.execute_commands(orders.fencing_token, &orders.commands);
+                        worker.execute_commands(
+                            direct_commands_sent.fencing_token,
+                            &direct_commands_sent.commands,
+                        );
                     }
                     cluster
                         .leader
-                        .direct_commands_done(machine, orders, outcome);
+                        .direct_commands_done(machine, direct_commands_sent, outcome);
                 }
                 for n in 0..4 {
                     cluster.heartbeat(&mut worker, "n1", 2.0 + f64::from(n));
                 }
-                if let Some((_, orders)) = &direct
+                if let Some((_, direct_commands_sent)) = &direct
                     && outcome == CommandOutcome::Unknown
                 {
                     assert!(
-                        worker.fencing_token > orders.fencing_token,
-                        "what may come late is fenced"
+                        worker.fencing_token > direct_commands_sent.fencing_token,
+                        "a start that may arrive late is fenced"
                     );
                 }
                 let case = (outcome, late, cancel_first);
@@ -173,8 +190,8 @@
     }
 }
 
-/// Also on a machine whose newest heartbeat is of another incarnation than the
-/// placement: until the stop is heard the shard lease is not extended.
+/// Holds also on a machine whose newest heartbeat is of another incarnation than the placement:
+/// the shard lease is not extended before the stop is acknowledged.
 #[test]
 fn work_of_an_ended_job_is_stopped_whatever_incarnation_it_was_placed_in() {
     let mut cluster = TestCluster::new();
@@ -182,7 +199,7 @@
     former.incarnation = 5;
     cluster.heartbeat(&mut former, "n1", 1.0);
     let copy = former.next_heartbeat();
-    // The worker restarted, and a job runs there.
+    // The worker has restarted, and a job runs on it.
     cluster.fail_over(2, 10.0);
     let mut worker = Worker::new("vm-1");
     cluster.submit(&job("wk-000001", 1), 10.0);
@@ -190,23 +207,23 @@
     cluster.heartbeat(&mut worker, "n1", 12.0);
     assert_eq!(worker.running(), 1);
     cluster.store.cancel("wk-000001");
-    // The next leader hears the copy first.
+    // The first heartbeat that the next leader takes is the copy.
     cluster.fail_over(3, 20.0);
     cluster
         .leader
         .take_heartbeat("n2", &copy, &[], 21.0)
         .unwrap();
     assert_eq!(
-        stops(&cluster.leader.heartbeat_commands(&copy, 21.0)),
+        count_stops(&cluster.leader.heartbeat_commands(&copy, 21.0)),
         1,
-        "nothing is renewed by it"
+        "the heartbeat renews no shard lease"
     );
     assert!(cluster.leader.extend_shard("n2", 21.1).is_empty());
 }
 
-/// A worker restarted within a leader's term, and the next leader recovers what was
-/// placed there since. A copy of a heartbeat from before the restart shows a token of
-/// the same term, which was taken for proof.
+/// A worker restarts within a leader's term, and the next leader recovers the placements made on
+/// it since. A copy of a heartbeat from before the restart shows a token of the same term, which
+/// must not be taken for proof that the tasks are gone.
 #[test]
 fn a_heartbeat_from_before_a_worker_restart_in_the_same_term_frees_nothing() {
     let mut cluster = TestCluster::new();
@@ -216,8 +233,8 @@
     cluster.heartbeat(&mut former, "n1", 2.0);
     let copy = former.next_heartbeat();
     assert!(copy.fencing_token > 0);
-    // As far as the ledger tells this is the same leader, which took the machine back in
-    // incarnation 1: another one with its term and its entries.
+    // According to the ledger this is the same leader, which accepted the machine again in
+    // incarnation 1; it is another leader with the same term and entries.
     let mut worker = Worker::new("vm-1");
     cluster.fail_over(1, 3.0);
     for _ in 0..5 {
@@ -226,7 +243,7 @@
         cluster.heartbeat(&mut Worker::new("vm-8"), "n1", 3.0);
     }
     for n in 0..4 {
-        // Many moves use up tokens, so that later attempts have higher numbers.
+        // Each move to another controller uses a token, so that later attempts have higher numbers.
         cluster.heartbeat(&mut worker, ["n1", "n2"][n % 2], 4.0 + n as f64);
     }
     cluster.submit(&job("wk-000001", 8), 9.0);
@@ -239,18 +256,18 @@
     assert_eq!(
         placements_on(&next, "vm-1"),
         running,
-        "its tasks may run on"
+        "the tasks may be running"
     );
 }
 
-/// It arrives after the worker has seen a token of the new leader, and is rejected; or
-/// before, and is the task that the ledger names there. The task runs once, and its
-/// cancellation reaches it.
+/// The command arrives after the worker has seen a token of the new leader, and is rejected, or
+/// before, and starts the task that the ledger places there. The task runs once, and its
+/// cancellation stops it.
 #[test]
 fn a_late_command_of_a_deposed_leader_is_fenced_or_runs_the_recovered_placement() {
     for heard in [false, true] {
-        let (mut cluster, mut worker) = placed();
-        let (_, held_up) = order(&mut cluster.leader, 1.1).unwrap();
+        let (mut cluster, mut worker) = cluster_with_placement();
+        let (_, held_up) = direct_commands(&mut cluster.leader, 1.1).unwrap();
         cluster.fail_over(2, 3.0);
         let mut other = Worker::new("vm-2");
         if heard {
--- a/crates/control/tests/failures.rs
+++ b/crates/control/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failed tasks: whether the job is at fault, or the machine.
+//! Failed tasks: whether the job or the machine is at fault.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use cherrywood_wire::agent::ExitCause;
 use common::*;
 
-/// Ends what runs on the worker: with an error where `fails` says so.
-fn end(worker: &mut Worker, fails: impl Fn(&str) -> bool) {
+/// Ends the running tasks of the worker, with an error where `fails` returns true.
+fn end_tasks(worker: &mut Worker, fails: impl Fn(&str) -> bool) {
     for t in worker.tasks.iter_mut().filter(|t| t.is_running()) {
         t.exit = Some(if fails(&t.task) {
             ExitCause::Error
@@ -17,9 +17,9 @@
     }
 }
 
-/// Does the machine get none of a job of which it could take some?
+/// Whether the machine is given no task of a job although it has room for some.
 fn is_cordoned(cluster: &mut TestCluster, worker: &mut Worker, now: f64) -> bool {
-    // More than one machine can take, so each that may gets some of it.
+    // The job has more tasks than one machine has room for, so each usable machine gets some.
     cluster.submit(&wide_job("wk-000099", 8), now);
     cluster.heartbeat(worker, "n1", now);
     let idle = worker.running() == 0;
@@ -28,11 +28,11 @@
     idle
 }
 
-/// Two jobs that carry a mistake once had a healthy machine quarantined when
-/// they met there before either had failed on three (8 machines on inc-1b81),
-/// and their failures made a good key of the same team and image untrusted.
+/// Two broken jobs that fail on the same machine before either has failed on three machines must
+/// not cordon that machine (8 machines on inc-1b81), and their failures must not make the
+/// run-time estimate of a good job of the same team and image untrusted.
 #[test]
-fn jobs_that_fail_everywhere_cordon_no_machine_and_spoil_no_estimate() {
+fn jobs_that_fail_everywhere_cordon_no_machine_and_invalidate_no_estimate() {
     let mut cluster = TestCluster::new();
     let (mut a, mut b) = (Worker::new("vm-1"), Worker::new("vm-2"));
     cluster.submit(&wide_job("wk-000001", 2), 0.0);
@@ -45,7 +45,7 @@
         }
         for worker in [&mut a, &mut b] {
             cluster.heartbeat(worker, "n1", now);
-            end(worker, broken);
+            end_tasks(worker, broken);
             cluster.heartbeat(worker, "n1", now + 1.0);
         }
     }
@@ -62,8 +62,8 @@
     cluster.leader.audit().unwrap();
 }
 
-/// A job that fails wherever it runs is tried one task at a time, ever more
-/// slowly, and no machines are rented for what waits of it.
+/// A job that fails wherever it runs is retried one task at a time at growing intervals, and no
+/// machines are rented for its waiting tasks.
 #[test]
 fn a_suspect_job_is_tried_one_task_at_a_time_and_rents_no_second_machine() {
     let mut cluster = TestCluster::new();
@@ -73,14 +73,14 @@
         let now = 1.0 + 2.0 * n as f64;
         cluster.heartbeat(worker, "n1", now);
         assert_eq!(worker.running(), 4);
-        end(worker, |_| true);
+        end_tasks(worker, |_| true);
         cluster.heartbeat(worker, "n1", now + 1.0);
     }
     let mut probes = Vec::new();
     for step in 5..120 {
         let now = f64::from(step);
         for worker in &mut fleet {
-            end(worker, |_| true);
+            end_tasks(worker, |_| true);
             cluster.heartbeat(worker, "n1", now);
         }
         let running: usize = fleet.iter().map(Worker::running).sum();
@@ -89,7 +89,7 @@
             probes.push(step);
         }
         let calls = cluster.leader.autoscale(now);
-        // Idle machines are returned meanwhile; a probe may need one again.
+        // Idle machines are returned in the meantime; a retry may need one again.
         let rents = |c: &CloudCall| matches!(c, CloudCall::Rent(r) if r.count > 1);
         assert!(!calls.iter().any(rents), "at {now}");
     }
@@ -101,12 +101,12 @@
     }
     assert!(
         cluster.leader.placements_held().is_empty(),
-        "a cancel frees everything"
+        "a cancellation frees everything"
     );
 }
 
-/// A machine that fails every task is found although broken jobs fail as well,
-/// and its good jobs run elsewhere meanwhile.
+/// A machine that fails every task is detected although broken jobs fail as well, and its good
+/// jobs run elsewhere in the meantime.
 #[test]
 fn a_faulty_machine_is_cordoned_although_broken_jobs_fail_as_well() {
     let mut cluster = TestCluster::new();
@@ -119,9 +119,9 @@
     for step in 1..30 {
         let now = f64::from(step);
         cluster.heartbeat(&mut sick, "n1", now);
-        end(&mut sick, |_| true);
+        end_tasks(&mut sick, |_| true);
         cluster.heartbeat(&mut worker, "n1", now);
-        end(&mut worker, broken);
+        end_tasks(&mut worker, broken);
         if found.is_none() && step > 2 && is_cordoned(&mut cluster, &mut sick, now + 0.5) {
             found = Some(step);
         }
@@ -129,14 +129,14 @@
     assert!(found.is_some_and(|n| n < 12), "{found:?}");
     assert!(
         !is_cordoned(&mut cluster, &mut worker, 40.0),
-        "the other is well"
+        "the other machine is not cordoned"
     );
     assert_eq!(cluster.leader.live_job_ids(), ["wk-000004"]);
     cluster.leader.audit().unwrap();
 }
 
-/// A storm (seed 82) left a job waiting for good: it had failed on the only
-/// machine there was, and kept away from it after the fault had passed.
+/// A job that failed on the only machine must not avoid that machine for good after the fault
+/// has passed, or it waits forever (found by fault injection, seed 82).
 #[test]
 fn a_job_is_placed_again_on_a_machine_where_it_failed_a_while_ago() {
     let mut cluster = TestCluster::new();
@@ -144,7 +144,7 @@
     cluster.submit(&wide_job("wk-000001", 1), 0.0);
     cluster.heartbeat(&mut worker, "n1", 1.0);
     assert_eq!(worker.running(), 1);
-    end(&mut worker, |_| true);
+    end_tasks(&mut worker, |_| true);
     cluster.heartbeat(&mut worker, "n1", 2.0);
     for now in [3.0, 12.0, 21.0] {
         cluster.heartbeat(&mut worker, "n1", now);
@@ -154,7 +154,7 @@
     assert_eq!(worker.running(), 1);
 }
 
-/// Whether on spot, and how many, of each rental.
+/// Returns, for each rental, whether it asks for spot machines, and their count.
 fn rentals(cluster: &mut TestCluster, now: f64) -> Vec<(bool, u32)> {
     let calls = cluster
         .leader
@@ -167,18 +167,18 @@
     calls.collect()
 }
 
-/// A small job waited for good where no cheap machine could be had: its few CPUs
-/// were not worth a dear one.
+/// Where no spot machine is available, a small job must not wait forever because its few CPUs do
+/// not justify an on-demand machine.
 #[test]
 fn a_stranded_job_has_one_machine_rented_at_any_price() {
     let mut cluster = TestCluster::new();
-    let mut dear = machine_types();
-    dear[0].spot_price_per_hour = None;
-    cluster.leader.set_machine_types(dear);
+    let mut on_demand_only = machine_types();
+    on_demand_only[0].spot_price_per_hour = None;
+    cluster.leader.set_machine_types(on_demand_only);
     cluster.submit(&wide_job("wk-000001", 1), 0.0);
     assert_eq!(rentals(&mut cluster, 5.0), []);
     assert_eq!(rentals(&mut cluster, 11.0), [(false, 1)]);
-    // While one that could take it is on its way, no other is rented.
+    // While a machine that has room for the job is booting, no other is rented.
     let mut worker = Worker::new("vm-1");
     cluster.submit(&wide_job("wk-000002", 1), 11.0);
     cluster.heartbeat(&mut worker, "n1", 12.0);
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -67,11 +67,11 @@
     let heartbeat = worker.next_heartbeat();
     old.take_heartbeat("n1", &heartbeat, &[], 1.0);
     old.place_pending(1.0);
-    let late = old.ledger_batch().unwrap();
+    let late_batch = old.ledger_batch().unwrap();
     let _new = store.elect(2, 5.0);
-    let outcome = store.apply(&late.txn);
+    let outcome = store.apply(&late_batch.txn);
     assert!(matches!(&outcome, WriteOutcome::Conflict(k) if k.contains(&keys::LEADER.to_string())));
-    old.ledger_batch_done(late, &outcome);
+    old.ledger_batch_done(late_batch, &outcome);
     assert!(old.deposed);
 }
 
@@ -85,14 +85,14 @@
     let heartbeat = worker.next_heartbeat();
     leader.take_heartbeat("n1", &heartbeat, &[], 1.0);
     leader.place_pending(1.0);
-    let lost = leader.ledger_batch().unwrap();
-    let late = lost.txn.clone();
-    leader.ledger_batch_done(lost, &WriteOutcome::Unknown);
+    let unanswered_batch = leader.ledger_batch().unwrap();
+    let late_txn = unanswered_batch.txn.clone();
+    leader.ledger_batch_done(unanswered_batch, &WriteOutcome::Unknown);
     reread(&mut leader, &store);
     write_all(&mut leader, &mut store);
     exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 2.0);
     assert_eq!(worker.running(), 1);
-    assert!(matches!(store.apply(&late), WriteOutcome::Applied(_)));
+    assert!(matches!(store.apply(&late_txn), WriteOutcome::Applied(_)));
     let mut next = store.elect(2, 3.0);
     assert_eq!(next.placements_held(), leader.placements_held());
     let mut o = Worker::new("vm-2");
@@ -251,7 +251,7 @@
     assert_eq!(o.running(), 0, "the old start may still arrive");
     worker.execute_commands(new_token, &leader.heartbeat_commands(&heartbeat, 3.0));
     worker.execute_commands(token, &on_its_way);
-    assert_eq!(worker.running(), 0, "fenced");
+    assert_eq!(worker.running(), 0, "the late command is fenced");
     exchange_heartbeat(&mut leader, &mut store, &mut worker, "n2", 7.0);
     assert_eq!(worker.running() + o.running(), 1);
 }
@@ -333,7 +333,7 @@
     assert_eq!(leader.extend_shard("n2", 3.0).len(), 1);
     assert!(
         leader.extend_shard("n2", 4.0).is_empty(),
-        "so that its shard leases expire"
+        "the shard lease of a silent machine must expire"
     );
 }
 
@@ -490,7 +490,7 @@
     write_all(&mut leader, &mut store);
     let AddressedCommands {
         machine,
-        commands: late,
+        commands: late_commands,
         ..
     } = leader
         .due_direct_commands(2.0)
@@ -508,10 +508,10 @@
     let commands = leader.heartbeat_commands(&heartbeat, 3.0);
     assert!(!forgets(&commands), "the direct command has no outcome yet");
     worker.execute_commands(token, &commands);
-    leader.direct_commands_done(&machine, &late, CommandOutcome::Unknown);
+    leader.direct_commands_done(&machine, &late_commands, CommandOutcome::Unknown);
     let heartbeat = worker.next_heartbeat();
     let token = leader.take_heartbeat("n1", &heartbeat, &[], 4.0).unwrap();
-    assert!(token > late.fencing_token);
+    assert!(token > late_commands.fencing_token);
     let commands = leader.heartbeat_commands(&heartbeat, 4.0);
     assert!(
         !forgets(&commands),
@@ -524,8 +524,8 @@
     assert!(forgets(&commands));
     worker.execute_commands(token, &commands);
     let before = worker.tasks.len();
-    worker.execute_commands(late.fencing_token, &late.commands);
-    assert_eq!(worker.tasks.len(), before, "fenced");
+    worker.execute_commands(late_commands.fencing_token, &late_commands.commands);
+    assert_eq!(worker.tasks.len(), before, "the late command is fenced");
 }
 
 /// A leader short of processor time can send its direct commands so late that four heartbeats
@@ -541,7 +541,7 @@
     write_all(&mut leader, &mut store);
     let AddressedCommands {
         machine,
-        commands: late,
+        commands: late_commands,
         ..
     } = leader
         .due_direct_commands(2.0)
@@ -565,7 +565,7 @@
     exchange_heartbeat(&mut leader, &mut store, &mut other, "n1", 12.0);
     assert_eq!(other.running(), 0, "the task may yet start on vm-1");
     // The unanswered direct command is fenced; only then may the task go elsewhere.
-    leader.direct_commands_done(&machine, &late, CommandOutcome::Unknown);
+    leader.direct_commands_done(&machine, &late_commands, CommandOutcome::Unknown);
     for i in 0..3 {
         exchange_heartbeat(
             &mut leader,
@@ -577,7 +577,7 @@
     }
     exchange_heartbeat(&mut leader, &mut store, &mut other, "n1", 16.5);
     exchange_heartbeat(&mut leader, &mut store, &mut other, "n1", 17.0);
-    worker.execute_commands(late.fencing_token, &late.commands);
+    worker.execute_commands(late_commands.fencing_token, &late_commands.commands);
     assert_eq!(worker.running() + other.running(), 1);
 }
 
@@ -737,11 +737,11 @@
     let mut leader = store.elect(2, 10.0);
     exchange_heartbeat(&mut leader, &mut store, &mut a, "n2", 11.0);
     exchange_heartbeat(&mut leader, &mut store, &mut b, "n2", 11.0);
-    let far = Submission {
+    let large_image_job = Submission {
         image_gb: 20.0,
         ..job("wk-000002", 1)
     };
-    submit(&mut leader, &mut store, &far, 12.0);
+    submit(&mut leader, &mut store, &large_image_job, 12.0);
     leader.place_pending(12.0);
     let held = leader.placements_held();
     assert_eq!(held.first().unwrap().0, "vm-2", "the image is cached there");
@@ -766,7 +766,7 @@
     assert_eq!(leader.audit(), Ok(()));
     exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 2.0);
     assert_eq!(worker.running(), 2);
-    // Final states as well.
+    // A refused transaction with final states is written again as well.
     for t in &mut worker.tasks {
         t.exit = Some(ExitCause::Done);
     }
--- a/crates/control/tests/leadership.rs
+++ b/crates/control/tests/leadership.rs
@@ -1,5 +1,5 @@
-//! When a leader may write and act, and which work a hello or a response may keep
-//! alive.
+//! When a leader may write and act, and for which machines a hello or a response may renew a
+//! lease.
 
 mod common;
 
@@ -13,15 +13,15 @@
     LeaseTiming::new(w.lease_s, w.cancel_s)
 }
 
-/// Renewing the lease shows no cancellation. Where the watch was refused, lagged or
-/// hung while renewals were answered, the leader went on answering workers for as long.
+/// Renewing the leader lease shows no cancellation. While the watch is refused, lags or hangs and
+/// renewals succeed, the leader must not go on responding to workers.
 #[test]
 fn a_leader_whose_lease_is_renewed_without_a_view_may_not_act() {
     let (t, mut leadership) = (timing(), Leadership::default());
     leadership.acquired(7, 100.0, &t);
     assert!(
         leadership.may_write(100.1) && !leadership.may_act(100.1, &t),
-        "it has seen nothing"
+        "the leader has no view yet"
     );
     leadership.view_completed(7, 100.5);
     assert!(leadership.may_act(100.6, &t));
@@ -35,14 +35,14 @@
     }
     assert!(
         leadership.renewed_without_view_s(110.0) > 4.0,
-        "another may see more"
+        "another leader may have a newer view"
     );
     leadership.view_completed(7, 109.0);
     assert!(leadership.may_act(110.0, &t) && leadership.renewed_without_view_s(110.0) == 0.0);
 }
 
-/// After an outage the lease has its full time again: the old leader renewed it, and
-/// then workers' leases, before it knew what had been cancelled meanwhile.
+/// After an outage the old leader renews its lease for the full duration. It must not renew
+/// workers' leases before it knows which jobs were cancelled during the outage.
 #[test]
 fn after_an_outage_the_leader_acts_only_once_its_view_is_recent() {
     let (t, mut leadership) = (timing(), Leadership::default());
@@ -50,17 +50,17 @@
     leadership.view_completed(7, 0.0);
     leadership.lease_renewed(7, 70.0, &t);
     assert!(leadership.may_write(70.1) && !leadership.may_act(70.1, &t));
-    // The answer to a request sent before the outage proves what was committed before it.
+    // The response to a request sent before the outage proves only what was committed before it.
     leadership.view_completed(7, 3.0);
     assert!(!leadership.may_act(70.1, &t));
     leadership.view_completed(7, 70.2);
     assert!(leadership.may_act(70.3, &t));
-    // An older answer that comes later takes nothing back.
+    // A response to an older request that arrives later does not make the view older.
     leadership.view_completed(7, 60.0);
     assert!(leadership.may_act(70.3, &t));
 }
 
-/// Nor do those that name no lease at all.
+/// Views and renewals that name no lease at all don't count either.
 #[test]
 fn views_and_renewals_of_an_earlier_term_do_not_count() {
     let (t, mut leadership) = (timing(), Leadership::default());
@@ -77,9 +77,9 @@
     assert!(leadership.may_write(1.2) && !leadership.may_act(1.2, &t));
 }
 
-/// The whole lease chain: a cancellation that the leader never sees, with its last view
-/// as old as it may be, a shard owner that hears the leader at the last moment, and a
-/// worker that hears the owner at the last moment.
+/// The whole lease chain at its limits: the leader never sees the cancellation and its last view
+/// is as old as allowed, a shard owner hears the leader at the last moment, and a worker hears
+/// the owner at the last moment.
 #[test]
 fn an_unseen_cancellation_ends_its_tasks_within_cancel_s() {
     for (lease, cancel) in [(10.0, 40.0), (22.0, 52.0), (15.25, 45.25)] {
@@ -88,7 +88,7 @@
         leadership.acquired(7, 0.0, &t);
         leadership.view_completed(7, 10.0);
         let cancelled = 10.0;
-        // The lease is renewed for ever, as if the watch alone were refused.
+        // The leader lease is renewed without end, as if the watch alone were refused.
         let step = 0.05;
         let mut gone = 0.0;
         let mut now = 10.0;
@@ -107,9 +107,9 @@
     }
 }
 
-/// A hello extends leases and carries no stop. So a shard owner whose hellos the leader
-/// answered, and whose heartbeats it didn't (their frames are larger, and come late),
-/// kept cancelled work alive.
+/// A hello extends shard leases and carries no stop. A shard owner whose hellos reach the leader
+/// while its heartbeats do not (their frames are larger and arrive late) must not keep cancelled
+/// work alive.
 #[test]
 fn a_hello_does_not_renew_the_lease_of_a_machine_with_work_of_an_ended_job() {
     let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
@@ -126,7 +126,7 @@
     );
     cluster.cancel("wk-000001");
     assert_eq!(names(cluster.leader.extend_shard("n2", 2.2)), ["vm-2"]);
-    // Its heartbeat is taken, and the response with the stops is lost on the way.
+    // The heartbeat is taken, and the response with the stops is lost.
     let heartbeat = worker.next_heartbeat();
     assert!(
         cluster
@@ -137,7 +137,7 @@
     let stops = cluster.leader.heartbeat_commands(&heartbeat, 3.0);
     assert_eq!(stops.len(), 2, "{stops:?}");
     assert_eq!(names(cluster.leader.extend_shard("n2", 3.1)), ["vm-2"]);
-    // The next response arrives: its stops are obeyed, and the machine is in the shard again.
+    // The next response arrives: its stops are executed, and the shard has the machine again.
     cluster.heartbeat(&mut worker, "n2", 4.0);
     assert_eq!(worker.running(), 0);
     cluster.heartbeat(&mut worker, "n2", 5.0);
@@ -149,8 +149,8 @@
     cluster.leader.audit().unwrap();
 }
 
-/// A task that no placement names is told to stop; until a heartbeat shows that it is
-/// gone, a hello doesn't keep it alive.
+/// A task without a placement is stopped. Until a heartbeat shows that it is gone, a hello does
+/// not renew the lease of its machine.
 #[test]
 fn a_hello_does_not_renew_the_lease_of_a_machine_with_an_unknown_task() {
     let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
@@ -169,10 +169,9 @@
     assert_eq!(cluster.leader.extend_shard("n2", 3.1).len(), 1);
 }
 
-/// A heartbeat sent before a start arrived doesn't list the task. If the job was
-/// cancelled in between, the stop was sent only with the response to the next
-/// heartbeat, while this response extended the lease of an owner that might not reach
-/// the leader again.
+/// A heartbeat sent before a start arrived does not list the task. If the job is cancelled in
+/// between, the response to this heartbeat must carry the stop: it extends the lease of an owner
+/// that may not reach the leader again, so the next response would be too late.
 #[test]
 fn a_cancelled_start_that_a_heartbeat_may_have_missed_is_followed_by_a_stop() {
     let (mut cluster, mut worker) = (TestCluster::new(), Worker::new("vm-1"));
@@ -186,8 +185,8 @@
     cluster.leader.place_pending(1.0);
     cluster.write_all();
     let late = worker.next_heartbeat();
-    let orders = cluster.leader.due_direct_commands(1.1);
-    let due = orders["n2"][0].clone();
+    let direct_commands = cluster.leader.due_direct_commands(1.1);
+    let due = direct_commands["n2"][0].clone();
     let (machine, start) = (due.machine, due.commands);
     assert_eq!(start.commands.len(), 1);
     worker.execute_commands(start.fencing_token, &start.commands);
@@ -207,10 +206,9 @@
     assert_eq!(worker.running(), 0);
 }
 
-/// The response that carries them is given under its token, and the lease stays as it
-/// was.
+/// The response with the stops is sent under its token, and the lease stays unchanged.
 #[test]
-fn stops_that_may_get_lost_do_not_extend_the_shard_lease() {
+fn a_response_with_stops_that_may_be_lost_does_not_extend_the_shard_lease() {
     let mut owner = ShardOwner::default();
     owner.lease_granted("vm-1", 5, 100.0, 20.0);
     owner.must_deliver_stops("vm-1", 5);
--- a/crates/control/tests/lease_timing.rs
+++ b/crates/control/tests/lease_timing.rs
@@ -1,4 +1,5 @@
-//! The lease chain, which ends the tasks of a cancelled job wherever it is cut.
+//! The chain of leases (leader, shard owner, worker), which ends the tasks of a cancelled job
+//! wherever the chain is interrupted.
 
 use cherrywood_control::LeaseTiming;
 use cherrywood_limits as limits;
@@ -15,16 +16,16 @@
             "{sum} {cancel}"
         );
         assert!(t.shard_lease_s <= 30.0 && t.leader_lease_s <= t.view_max_age_s);
-        // Two views in a row may be late, and the leader may still act.
+        // The leader may still act if two successive views are late.
         assert!(2.0 * limits::VIEW_WATCH_HOLD_S + limits::STORE_TIMEOUT_S < t.view_max_age_s);
     }
     let tight = LeaseTiming::new(10.0, 14.0);
     assert!(!tight.fits_cancel_bound && tight.shard_lease_s == limits::SHARD_LEASE_MIN_S);
 }
 
-/// Settings are refused by the same bound by which the lease chain is made.
+/// The bound by which settings are rejected is the one by which the lease chain is computed.
 #[test]
-fn least_cancel_s_is_the_smallest_bound_that_fits() {
+fn least_cancel_s_is_the_smallest_accepted_bound() {
     for lease_s in [0.5, 6.0, 10.0, 15.25, 22.0, 90.0] {
         let least = limits::min_cancel_s(lease_s);
         assert!(
--- a/crates/control/tests/ledger_at_scale.rs
+++ b/crates/control/tests/ledger_at_scale.rs
@@ -1,4 +1,5 @@
-//! The ledger and placement at scale: counted, not timed.
+//! The placement ledger and placement with many machines. The tests count operations and bytes
+//! and measure no time.
 
 mod common;
 
@@ -16,7 +17,7 @@
     (0..n).map(|i| Worker::new(&format!("vm-{i:06}"))).collect()
 }
 
-/// A leader that heard so many machines at 1 s.
+/// A cluster whose leader had a heartbeat from each machine at 1 s.
 fn cluster_of(machines: usize) -> (TestCluster, Vec<Worker>) {
     let mut cluster = TestCluster::new();
     let mut workers = fleet(machines);
@@ -26,12 +27,12 @@
     (cluster, workers)
 }
 
-/// A job of team `wide` by its number.
-fn big(id: usize, tasks: u32) -> Submission {
+/// A job of team `wide` with this number in its id.
+fn numbered_job(id: usize, tasks: u32) -> Submission {
     wide_job(&format!("wk-{id:06}"), tasks)
 }
 
-/// Entries of the ledger in the state service.
+/// Number of ledger entries in the key-value store.
 fn entries(store: &Store) -> usize {
     store
         .records
@@ -40,15 +41,16 @@
         .count()
 }
 
-/// What was written to the ledger until nothing waited.
+/// Totals of the transactions that [`write_ledger`] wrote.
 #[derive(Debug, Default)]
 struct LedgerWrites {
     transactions: usize,
     changes: usize,
-    /// Of the largest transaction.
+    /// Bytes of the largest transaction.
     largest_bytes: usize,
 }
 
+/// Writes ledger batches until none is left.
 fn write_ledger(cluster: &mut TestCluster) -> LedgerWrites {
     let mut writes = LedgerWrites::default();
     while let Some(batch) = cluster.leader.ledger_batch() {
@@ -68,13 +70,13 @@
     writes
 }
 
-/// One key a machine took a change for each of them (600 here); the ledger takes
-/// one for all that a transaction can hold.
+/// With one key per machine a placement pass would need a change for each machine (600 here).
+/// The ledger needs one change for all placements that fit a transaction.
 #[test]
 fn ledger_changes_do_not_grow_with_the_number_of_machines() {
     for machines in [10, 600] {
         let (mut cluster, _) = cluster_of(machines);
-        cluster.submit(&big(1, machines as u32 * 4), 2.0);
+        cluster.submit(&numbered_job(1, machines as u32 * 4), 2.0);
         cluster.leader.place_pending(2.0);
         assert_eq!(cluster.leader.placements_held().len(), machines * 4);
         let writes = write_ledger(&mut cluster);
@@ -87,30 +89,30 @@
     }
 }
 
-/// A group of like tasks needs one search of the machines with room, and a
-/// full fleet none.
+/// A group of like tasks needs one search of the machines with room, and none if all machines
+/// are full.
 #[test]
-fn a_pass_examines_no_machine_that_is_full() {
+fn a_placement_pass_examines_no_full_machine() {
     let (mut cluster, mut workers) = cluster_of(500);
-    cluster.submit(&big(1, 2000), 2.0);
+    cluster.submit(&numbered_job(1, 2000), 2.0);
     cluster.leader.place_pending(2.0);
     assert_eq!(cluster.leader.placements_held().len(), 2000);
     assert!(
         cluster.leader.machines_examined() <= 500 * 501,
-        "a search a group of four: {}",
+        "one search per group of four: {}",
         cluster.leader.machines_examined()
     );
     for id in 2..40 {
-        cluster.submit(&big(id, 100), 2.5);
+        cluster.submit(&numbered_job(id, 100), 2.5);
     }
     let before = cluster.leader.machines_examined();
     cluster.leader.place_pending(3.0);
     assert_eq!(
         cluster.leader.machines_examined(),
         before,
-        "nothing has room"
+        "no machine has room"
     );
-    // Two tasks end: only their machine is looked at, by those that can use it.
+    // Two tasks end: only their machine is examined, by jobs that fit it.
     write_ledger(&mut cluster);
     let worker = &mut workers[250];
     cluster.heartbeat(worker, "n1", 3.0);
@@ -128,9 +130,9 @@
     );
 }
 
-/// A failover at 2.25 times the operators' largest file knows where images are on every
-/// machine. With names in full the value held 1,300 of them; the others had theirs
-/// fetched again after each failover.
+/// A new leader with 2.25 times the machines of the operators' largest configuration knows the
+/// cached images of every machine. With machine names written in full the value held 1,300
+/// machines, and the images of the others were fetched again after each failover.
 #[test]
 fn image_caches_of_2650_machines_fit_one_value() {
     let (mut cluster, workers) = cluster_of(2650);
@@ -138,7 +140,7 @@
         let spec = Submission {
             image: format!("img-{image}"),
             image_gb: 0.1,
-            ..big(image, 300)
+            ..numbered_job(image, 300)
         };
         cluster.submit(&spec, 1.5);
     }
@@ -150,7 +152,7 @@
     assert_eq!(value.images.len(), 28);
 }
 
-/// Long names must not push a transaction over its limits.
+/// Long machine names must not make a transaction exceed its limits.
 #[test]
 fn long_machine_names_keep_transactions_within_both_limits() {
     let mut cluster = TestCluster::new();
@@ -162,7 +164,7 @@
         cluster.heartbeat(worker, "n1", 1.0);
     }
     for id in 0..400 {
-        cluster.submit(&big(id, 2), 2.0);
+        cluster.submit(&numbered_job(id, 2), 2.0);
     }
     cluster.leader.place_pending(2.0);
     assert_eq!(cluster.leader.placements_held().len(), 800);
@@ -177,22 +179,22 @@
     );
 }
 
-/// Hundreds of machines, a third of them silent: a new leader starts none of
-/// their tasks elsewhere, and goes on with the rest.
+/// A third of hundreds of machines is silent after a failover: the new leader starts none of
+/// their tasks elsewhere and places new work on the other machines.
 #[test]
 fn a_failover_with_hundreds_of_machines_waits_only_for_silent_ones() {
     let (mut cluster, mut workers) = cluster_of(300);
-    cluster.submit(&big(1, 1000), 2.0);
+    cluster.submit(&numbered_job(1, 1000), 2.0);
     cluster.leader.place_pending(2.0);
     cluster.write_all();
     for worker in &mut workers {
         cluster.heartbeat(worker, "n1", 2.5);
     }
-    let running = |ws: &[Worker]| ws.iter().map(Worker::running).sum::<usize>();
+    let running = |workers: &[Worker]| workers.iter().map(Worker::running).sum::<usize>();
     assert_eq!(running(&workers), 1000);
     cluster.fail_over(2, 5.0);
     assert_eq!(cluster.leader.placements_held().len(), 1000);
-    cluster.submit(&big(2, 50), 5.0);
+    cluster.submit(&numbered_job(2, 50), 5.0);
     workers.sort_by_key(|worker| std::cmp::Reverse(worker.running()));
     for now in 6..9 {
         for worker in workers.iter_mut().skip(100) {
@@ -208,16 +210,16 @@
         .collect();
     all.sort();
     all.dedup();
-    assert_eq!(all.len(), 1050, "no task twice");
+    assert_eq!(all.len(), 1050, "no task runs twice");
 }
 
-/// A batch of many machines whose answer is lost starts nothing until it is
-/// read whether it was written, and then everything once.
+/// The response to a ledger transaction for many machines is lost. No task of it starts until
+/// the leader has read whether the entry was written; then each task starts once.
 #[test]
 fn a_ledger_entry_in_doubt_starts_nothing_until_it_is_read() {
     for applied in [true, false] {
         let (mut cluster, mut workers) = cluster_of(50);
-        cluster.submit(&big(1, 100), 2.0);
+        cluster.submit(&numbered_job(1, 100), 2.0);
         cluster.leader.place_pending(2.0);
         let batch = cluster.leader.ledger_batch().unwrap();
         if applied {
@@ -227,11 +229,11 @@
             .leader
             .ledger_batch_done(batch, &WriteOutcome::Unknown);
         assert!(cluster.leader.due_direct_commands(2.1).is_empty());
-        cluster.submit(&big(2, 20), 2.1);
+        cluster.submit(&numbered_job(2, 20), 2.1);
         cluster.leader.place_pending(2.1);
         assert!(
             cluster.leader.ledger_batch().is_none(),
-            "one doubt at a time"
+            "at most one entry is in doubt"
         );
         for worker in &mut workers {
             let r = worker.next_heartbeat();
@@ -264,12 +266,13 @@
     }
 }
 
-/// A cancel that fails the guard of a batch holds up nobody else for long.
+/// A cancellation fails the guard of a batch; the other jobs of the batch are written in the
+/// next one.
 #[test]
 fn a_job_cancelled_during_a_write_delays_the_others_by_one_round() {
     let (mut cluster, _) = cluster_of(20);
-    cluster.submit(&big(1, 10), 2.0);
-    cluster.submit(&big(2, 10), 2.0);
+    cluster.submit(&numbered_job(1, 10), 2.0);
+    cluster.submit(&numbered_job(2, 10), 2.0);
     cluster.leader.place_pending(2.0);
     cluster.store.cancel("wk-000001");
     let batch = cluster.leader.ledger_batch().unwrap();
@@ -284,21 +287,21 @@
     assert_eq!(cluster.store.elect(2, 3.0).placements_held(), held);
 }
 
-/// Random days: whatever ends, fails, loses its session or is deleted, and
-/// whichever writes are lost, what a new leader reads from the log is all that
-/// the old one held, and the log stays short.
+/// Whichever tasks end or fail, machines get a new incarnation or are deleted, and writes are
+/// lost, a new leader reads at least the placements that the old one held, and the ledger stays
+/// short.
 #[test]
-fn the_ledger_agrees_with_memory_after_random_events() {
+fn after_random_events_a_recovery_holds_every_placement_and_the_ledger_stays_short() {
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut cluster = TestCluster::new();
-        let mut epoch = 1;
+        let mut term = 1;
         let mut workers = fleet(12);
-        let mut gone = 0;
+        let mut deleted = 0;
         for step in 0..400 {
             let now = 1.0 + f64::from(step) * 0.3;
             if step % 9 == 0 {
-                cluster.submit(&big(step as usize, rng.random_range(1..20)), now);
+                cluster.submit(&numbered_job(step as usize, rng.random_range(1..20)), now);
             }
             let at = rng.random_range(0..workers.len());
             for t in &mut workers[at].tasks {
@@ -318,8 +321,8 @@
                 1 => {
                     let name = workers[at].name.clone();
                     cluster.leader.machines_deleted(&[name], now);
-                    gone += 1;
-                    workers[at] = Worker::new(&format!("vm-{:06}", 100 + gone));
+                    deleted += 1;
+                    workers[at] = Worker::new(&format!("vm-{:06}", 100 + deleted));
                 }
                 2 => {
                     if let Some(id) = cluster.leader.live_job_ids().first() {
@@ -340,9 +343,9 @@
                     }
                 }
                 4 => {
-                    epoch += 1;
+                    term += 1;
                     let before = cluster.leader.placements_held();
-                    cluster.fail_over(epoch, now);
+                    cluster.fail_over(term, now);
                     assert!(
                         cluster.leader.placements_held().is_superset(&before),
                         "seed {seed} step {step}"
@@ -350,8 +353,8 @@
                 }
                 _ => {}
             }
-            let holder = format!("n{epoch}");
-            cluster.heartbeat(&mut workers[at], &holder, now);
+            let owner = format!("n{term}");
+            cluster.heartbeat(&mut workers[at], &owner, now);
             assert_eq!(cluster.leader.audit(), Ok(()), "seed {seed} step {step}");
             let mut all: Vec<&String> = workers
                 .iter()
@@ -362,32 +365,32 @@
             let n = all.len();
             all.sort();
             all.dedup();
-            assert_eq!(all.len(), n, "seed {seed} step {step}: a task twice");
+            assert_eq!(all.len(), n, "seed {seed} step {step}: a task runs twice");
             assert!(
                 entries(&cluster.store) <= 140,
                 "{}",
                 entries(&cluster.store)
             );
         }
-        // Frees that no entry tells of yet are the only difference.
+        // The only difference may be freed placements that no entry records yet.
         let held = cluster.leader.placements_held();
-        let read = cluster.store.elect(epoch + 1, 200.0).placements_held();
+        let read = cluster.store.elect(term + 1, 200.0).placements_held();
         assert!(read.is_superset(&held), "seed {seed}");
     }
 }
 
-/// The rows of placements in the log, for a day with a standing job: its entry
-/// is written again instead of keeping all that came after it.
+/// The entry of a long-running task is written again, so that it does not keep all later
+/// entries in the ledger.
 #[test]
 fn a_long_running_task_does_not_keep_old_ledger_entries() {
     let mut cluster = TestCluster::new();
     let mut workers = fleet(2);
     let mut id = 1;
-    cluster.submit(&big(0, 1), 0.5);
+    cluster.submit(&numbered_job(0, 1), 0.5);
     for step in 0..600 {
         let now = 1.0 + f64::from(step);
         id += 1;
-        cluster.submit(&big(id, 2), now);
+        cluster.submit(&numbered_job(id, 2), now);
         for worker in &mut workers {
             for t in &mut worker.tasks {
                 if !t.task.starts_with("wk-000000/") {
@@ -416,8 +419,8 @@
     assert!(rows <= 600, "{rows}");
 }
 
-/// An entry that arrives after it was read as missing repeats placements: they
-/// count once towards the team's limit (two jobs of 8 CPUs, 16 allowed).
+/// An entry that is applied after it was read as missing repeats placements. They count once
+/// towards the team's quota (two jobs of 8 CPUs, 16 allowed).
 #[test]
 fn a_placement_in_two_ledger_entries_counts_once() {
     let mut cluster = TestCluster::new();
@@ -429,15 +432,15 @@
         .take_heartbeat("n1", &heartbeat, &[], 1.0)
         .unwrap();
     cluster.leader.place_pending(1.0);
-    let lost = cluster.leader.ledger_batch().unwrap();
-    let late = lost.txn.clone();
+    let unanswered_batch = cluster.leader.ledger_batch().unwrap();
+    let late_txn = unanswered_batch.txn.clone();
     cluster
         .leader
-        .ledger_batch_done(lost, &WriteOutcome::Unknown);
+        .ledger_batch_done(unanswered_batch, &WriteOutcome::Unknown);
     cluster.reread();
     write_ledger(&mut cluster);
     assert!(matches!(
-        cluster.store.apply(&late),
+        cluster.store.apply(&late_txn),
         WriteOutcome::Applied(_)
     ));
     cluster.fail_over(2, 2.0);
@@ -451,14 +454,14 @@
     assert_eq!(cluster.leader.placements_held().len(), 8);
 }
 
-/// What is freed while its entry is being written is in that entry all the
-/// same; the next one says that it is free.
+/// A placement that is freed while its entry is being written is in that entry nevertheless;
+/// the next entry marks it as freed.
 #[test]
 fn a_placement_freed_during_its_write_is_freed_by_the_next_entry() {
     let mut cluster = TestCluster::new();
     let mut workers = fleet(2);
     let first = &mut workers[0];
-    cluster.submit(&big(1, 2), 0.5);
+    cluster.submit(&numbered_job(1, 2), 0.5);
     let heartbeat = first.next_heartbeat();
     cluster
         .leader
@@ -476,7 +479,7 @@
     let outcome = cluster.store.apply(&batch.txn);
     cluster.leader.ledger_batch_done(batch, &outcome);
     assert!(cluster.leader.placements_held().is_empty());
-    // Another job keeps the first entry from being dropped whole.
+    // A placement on another machine keeps the first entry from being dropped whole.
     let heartbeat = workers[1].next_heartbeat();
     cluster
         .leader
@@ -502,17 +505,21 @@
     );
 }
 
-/// After a crash of all controllers the first one back was flooded by users
-/// while the leases of workers that could not get through ran out.
+/// After a crash of all controllers the first one back may be flooded by users' requests while
+/// the leases of workers that can't reach it expire. A leader is settling until it has heard
+/// most workers, for a bounded time.
 #[test]
-fn a_new_leader_settles_once_most_workers_were_heard() {
+fn a_new_leader_has_settled_once_most_workers_were_heard() {
     let mut cluster = TestCluster::new();
-    assert!(!cluster.leader.is_settling(0.1), "nothing to wait for");
+    assert!(
+        !cluster.leader.is_settling(0.1),
+        "no placements to wait for"
+    );
     let mut workers = fleet(10);
     for worker in &mut workers {
         cluster.heartbeat(worker, "n1", 1.0);
     }
-    cluster.submit(&big(1, 40), 2.0);
+    cluster.submit(&numbered_job(1, 40), 2.0);
     cluster.leader.place_pending(2.0);
     cluster.write_all();
     cluster.fail_over(2, 5.0);
@@ -525,16 +532,16 @@
     assert!(!cluster.leader.is_settling(5.8));
     assert!(
         !cluster.store.elect(3, 10.0).is_settling(13.5),
-        "not for ever"
+        "settling is bounded in time"
     );
 }
 
-/// Dozens of machines lose the network for less than their lease: none is
-/// deleted, nothing of theirs starts elsewhere, and all goes on afterwards.
+/// Dozens of machines are partitioned for less than their lease: none is deleted, none of their
+/// tasks starts elsewhere, and all tasks run on.
 #[test]
-fn a_partition_shorter_than_the_lease_loses_nothing() {
+fn a_network_partition_shorter_than_the_lease_ends_no_task() {
     let (mut cluster, mut workers) = cluster_of(60);
-    cluster.submit(&big(1, 240), 2.0);
+    cluster.submit(&numbered_job(1, 240), 2.0);
     cluster.leader.place_pending(2.0);
     cluster.write_all();
     for worker in &mut workers {
--- a/crates/control/tests/ledger_orders.rs
+++ b/crates/control/tests/ledger_orders.rs
@@ -1,8 +1,8 @@
-//! The placement ledger under orders of transactions that are applied late, repeatedly, never or
-//! without an answer, drawn from seeds. After every step a recovery from the store must hold each
-//! task that runs, and no task may run twice.
+//! The placement ledger with transactions that are applied late, repeatedly, never or without a
+//! response, in orders drawn from seeds. After every step a recovery from the store must hold
+//! each running task, and no task may run twice.
 //!
-//! `CHERRYWOOD_SEEDS=1000` plays so many seeds, `CHERRYWOOD_FIRST_SEED` says from which on.
+//! `CHERRYWOOD_SEEDS` sets the number of seeds, `CHERRYWOOD_FIRST_SEED` the first of them.
 
 mod common;
 
@@ -17,7 +17,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seeds played in every run of the tests.
+/// First seed and number of seeds in every run of the tests.
 const FIRST_SEED: u64 = 16;
 const SEEDS: u64 = 6;
 const STEPS: u32 = 700;
@@ -26,10 +26,10 @@
 const MACHINES: usize = 6;
 const TERMS_MAX: u64 = 20;
 const LEASE_S: f64 = 10.0;
-/// Limits of the store: so small that bursts of placements fill transactions.
+/// Limits of the store, so small that bursts of placements fill transactions.
 const VALUE_KB: f64 = 1.0;
 const TXN_CHANGES: usize = 16;
-/// Heartbeats that are kept, to arrive once more.
+/// The most heartbeats that are kept to arrive once more.
 const OLD_HEARTBEATS_MAX: usize = 40;
 
 fn small_store_settings() -> Settings {
@@ -44,11 +44,11 @@
 
 struct Machine {
     worker: Worker,
-    /// When the last answered heartbeat was sent.
+    /// When the last heartbeat that got a response was sent.
     leased_at: f64,
-    /// Until when nothing passes between it and the controllers.
+    /// Until when the machine is partitioned from the controllers.
     silent_until: f64,
-    /// When the cloud takes it, after a spot notice.
+    /// When the cloud reclaims the machine, after a spot notice.
     reclaimed_at: Option<f64>,
 }
 
@@ -141,8 +141,8 @@
     fn step(&mut self) {
         self.now += STEP_S;
         self.steps += 1;
-        self.deliver_what_is_late();
-        self.change_the_world();
+        self.deliver_late_messages();
+        self.inject_events();
         self.lead();
         for at in 0..self.machines.len() {
             if (self.steps as usize + at).is_multiple_of(HEARTBEAT_STEPS as usize) {
@@ -152,9 +152,9 @@
         self.replace_machines();
     }
 
-    // --- what arrives late ---
+    // --- late messages ---
 
-    fn deliver_what_is_late(&mut self) {
+    fn deliver_late_messages(&mut self) {
         let now = self.now;
         let late = self.late_transactions.extract_if(.., |(at, _)| *at <= now);
         for (_, txn) in late.collect::<Vec<_>>() {
@@ -162,7 +162,7 @@
             self.record(if applied {
                 "late transaction applied"
             } else {
-                "late transaction turned away"
+                "late transaction rejected"
             });
         }
         let late = self.late_commands.extract_if(.., |(at, ..)| *at <= now);
@@ -191,7 +191,7 @@
 
     // --- users, machines, failovers ---
 
-    fn change_the_world(&mut self) {
+    fn inject_events(&mut self) {
         if self.chance(0.02) && self.leader.term() < TERMS_MAX {
             self.fail_over();
         }
@@ -213,12 +213,12 @@
             self.machines[at].reclaimed_at = Some(self.after(2.0, 15.0));
             self.record("spot notice");
         }
-        self.let_time_pass();
+        self.advance_machines();
     }
 
     fn fail_over(&mut self) {
         self.record("failover");
-        // All controllers may be away for longer than the workers' lease.
+        // All controllers may be down for longer than the workers' lease.
         if self.chance(0.3) {
             self.now = self.after(1.0, 15.0);
         }
@@ -269,8 +269,8 @@
         }
     }
 
-    /// Tasks end, leases expire, and the cloud takes machines.
-    fn let_time_pass(&mut self) {
+    /// Ends tasks, expires worker leases and reclaims spot machines.
+    fn advance_machines(&mut self) {
         let now = self.now;
         let mut expired = 0;
         for machine in &mut self.machines {
@@ -340,7 +340,8 @@
         self.leader.audit().unwrap();
     }
 
-    /// Draws what becomes of a ledger transaction, and what the leader learns of it.
+    /// Draws whether a ledger transaction is applied now, late or never, and the outcome that
+    /// the leader learns.
     fn send(&mut self, batch: LedgerBatch) {
         let soon = self.after(0.5, 4.0);
         let late = self.after(2.0, 12.0);
@@ -364,9 +365,9 @@
             _ => (WriteOutcome::Refused, self.now),
         };
         match outcome {
-            WriteOutcome::Unknown => self.record("ledger transaction without an answer"),
+            WriteOutcome::Unknown => self.record("ledger transaction without a response"),
             WriteOutcome::Refused => self.record("ledger transaction refused"),
-            _ => self.record("ledger transaction answered"),
+            _ => self.record("ledger transaction with a response"),
         }
         self.awaited_batch = Some(AwaitedBatch {
             batch,
@@ -453,7 +454,7 @@
         }
     }
 
-    // --- what must hold ---
+    // --- invariants ---
 
     fn check(&self, seed: u64) {
         let mut running: BTreeSet<(String, String, u64)> = BTreeSet::new();
@@ -461,7 +462,11 @@
         for worker in self.machines.iter().map(|m| &m.worker) {
             for task in worker.tasks.iter().filter(|task| task.is_running()) {
                 let first = tasks.insert(&task.task);
-                assert!(first, "seed {seed}, {} s: {} twice", self.now, task.task);
+                assert!(
+                    first,
+                    "seed {seed}, {} s: {} runs twice",
+                    self.now, task.task
+                );
                 running.insert((worker.name.clone(), task.task.clone(), task.attempt));
             }
         }
@@ -473,7 +478,7 @@
         );
     }
 
-    /// What a leader that recovers now counts as placed.
+    /// Returns the placements of a leader that recovers from the store now.
     fn recovered(&self) -> BTreeSet<(String, String, u64)> {
         let state = self.store.recovered_state(0.0, self.now);
         let term = self.leader.term() + 1;
@@ -483,15 +488,15 @@
     }
 }
 
-fn from_environment(name: &str, otherwise: u64) -> u64 {
+fn number_from_environment(name: &str, default: u64) -> u64 {
     let value = std::env::var(name).ok();
-    value.and_then(|n| n.parse().ok()).unwrap_or(otherwise)
+    value.and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
 #[test]
 fn a_recovery_holds_every_running_task_in_any_order_of_ledger_transactions() {
-    let first = from_environment("CHERRYWOOD_FIRST_SEED", FIRST_SEED);
-    let count = from_environment("CHERRYWOOD_SEEDS", SEEDS);
+    let first = number_from_environment("CHERRYWOOD_FIRST_SEED", FIRST_SEED);
+    let count = number_from_environment("CHERRYWOOD_SEEDS", SEEDS);
     let mut events: BTreeMap<&str, u32> = BTreeMap::new();
     for seed in first..first + count {
         let mut world = World::new(seed);
@@ -505,7 +510,7 @@
     }
     for event in [
         "late transaction applied",
-        "late transaction turned away",
+        "late transaction rejected",
         "late command executed",
         "old heartbeat repeated",
         "failover",
@@ -514,8 +519,8 @@
         "cancellation",
         "worker lease expired",
         "machines deleted",
-        "ledger transaction answered",
-        "ledger transaction without an answer",
+        "ledger transaction with a response",
+        "ledger transaction without a response",
         "ledger transaction refused",
         "heartbeat response lost",
     ] {
--- a/crates/control/tests/ledger_recovery.rs
+++ b/crates/control/tests/ledger_recovery.rs
@@ -1,4 +1,4 @@
-//! What a new leader recovers from the placement ledger: all that may run.
+//! Recovery of placements from the ledger: a new leader holds every task that may be running.
 
 mod common;
 
@@ -12,17 +12,17 @@
 use common::*;
 use std::collections::BTreeSet;
 
-/// Sizes of a value at which a transaction fills up at different groups, bytes.
+/// Sizes (bytes) of a value with which transactions fill up at different groups.
 const VALUE_BYTES: std::ops::Range<usize> = 512..1_536;
 /// CPUs of the tasks beside which the two of the divided job are placed.
 const SMALL_TASK_CPUS: f64 = 0.1;
-/// The attempt of the placement in ledger entries that are written by hand.
+/// The attempt of the placement in the ledger entries that tests construct.
 const ATTEMPT: u64 = (1 << 32) + 7;
 /// Small jobs that use all CPUs that the first task of the divided job leaves.
 const SMALL_JOBS: usize = 10;
 
-/// A store whose transactions take one ledger entry, of so many bytes.
-fn one_small_entry_a_transaction(value_bytes: usize) -> Settings {
+/// Settings under which a transaction holds one ledger entry of at most `value_bytes`.
+fn one_small_entry_per_transaction_settings(value_bytes: usize) -> Settings {
     let mut settings = settings();
     settings.state.next = Some(NextLimits {
         value_kb: Some(value_bytes as f64 / 1024.0),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Tasks that run on the worker, with their attempts, as a leader counts them.
+/// Machine, task and attempt of each running task, in the form of `Leader::placements_held`.
 fn running_on(worker: &Worker) -> BTreeSet<(String, String, u64)> {
     let running = worker.tasks.iter().filter(|task| task.is_running());
     running
@@ -61,15 +61,15 @@
     }
     cluster.leader.place_pending(3.0);
     worker.tasks[0].exit = Some(ExitCause::Done);
-    let report = worker.next_heartbeat();
-    cluster.leader.take_heartbeat("n1", &report, &[], 4.0);
+    let heartbeat = worker.next_heartbeat();
+    cluster.leader.take_heartbeat("n1", &heartbeat, &[], 4.0);
     cluster.leader.place_pending(4.0);
 }
 
 #[test]
 fn a_task_placed_as_its_transaction_fills_up_is_not_taken_for_freed_after_a_failover() {
     for value_bytes in VALUE_BYTES {
-        let settings = one_small_entry_a_transaction(value_bytes);
+        let settings = one_small_entry_per_transaction_settings(value_bytes);
         let mut store = Store::default();
         let leader = store.elect_with(settings.clone(), 1, 0.0);
         let mut cluster = TestCluster { store, leader };
@@ -85,7 +85,8 @@
     }
 }
 
-/// A ledger entry with one placement of task 0 under `ATTEMPT`, and with what it calls freed.
+/// A ledger entry with one placement of task 0 under `ATTEMPT` if `is_placed`, and with these
+/// freed marks.
 fn entry(is_placed: bool, freed: &[(u64, u32)]) -> StoredRecord {
     let placement = LoggedPlacement("vm-1".into(), 0, 1, 0, ATTEMPT, 0, 1);
     StoredRecord::PlacementLog(PlacementLogRecord {
@@ -106,7 +107,7 @@
     })
 }
 
-/// A leader that reads these ledger entries and the job of their placement.
+/// A leader that recovers from these ledger entries and the record of the placement's job.
 fn recovered_from(entries: impl IntoIterator<Item = StoredRecord>) -> Leader {
     let mut store = Store::default();
     store.accept(&job("wk-000001", 1));
@@ -116,7 +117,7 @@
     store.elect(2, 0.0)
 }
 
-/// Whether the task is counted as placed, or else queued.
+/// Whether the task is placed; asserts that it is queued otherwise.
 fn is_placed(leader: &Leader) -> bool {
     let placed = !leader.placements_held().is_empty();
     let queued = leader.queue_lengths().iter().sum::<u32>() > 0;
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn a_ledger_entry_without_the_job_of_a_placement_keeps_a_leader_from_beginning() {
+fn a_ledger_entry_without_the_job_or_machine_class_of_a_placement_fails_the_recovery() {
     for without_job in [true, false] {
         let mut store = Store::default();
         store.accept(&job("wk-000001", 1));
--- a/crates/control/tests/new_machines.rs
+++ b/crates/control/tests/new_machines.rs
@@ -1,6 +1,6 @@
-//! Machines that are up within two seconds of their rental and get work at once, while the
-//! ledger's writes lag or lose their answers, and the leader ends: the next one knows what
-//! may run there, or nothing does, although no list names the machine yet.
+//! Machines that are up within two seconds of their rental and are given tasks at once, while
+//! ledger writes are delayed or lose their responses, and the leader fails. The next leader knows
+//! the tasks that may run there, or there are none, although no list names the machine yet.
 
 mod common;
 
@@ -13,20 +13,20 @@
 
 const NEW: &str = "vm-9";
 
-/// What becomes of the write that names the new machine.
+/// Outcome of the ledger write that names the new machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum WriteFate {
-    Answered,
-    AnswerLost,
-    /// Carried out before the next leader is elected, when the last one had ended.
+    Confirmed,
+    ResponseLost,
+    /// Executed after the first leader failed and before the next one is elected.
     LateBeforeElection,
     LateAfterElection,
     Never,
 }
 
 const WRITE_FATES: [WriteFate; 5] = [
-    WriteFate::Answered,
-    WriteFate::AnswerLost,
+    WriteFate::Confirmed,
+    WriteFate::ResponseLost,
     WriteFate::LateBeforeElection,
     WriteFate::LateAfterElection,
     WriteFate::Never,
@@ -43,21 +43,22 @@
     leader.rental_answered(&rent, Some(&[NEW.to_string()]), now);
 }
 
-/// All that the leader has to say to the machine, carried out there.
-fn start_all(leader: &mut Leader, worker: &mut Worker, now: f64) {
-    for (_, orders) in leader.due_direct_commands(now) {
-        for due in orders {
+/// Executes the commands of the leader at the machine.
+fn execute_all_commands(leader: &mut Leader, worker: &mut Worker, now: f64) {
+    for (_, direct_commands) in leader.due_direct_commands(now) {
+        for due in direct_commands {
             worker.execute_commands(due.commands.fencing_token, &due.commands.commands);
         }
     }
-    let report = worker.next_heartbeat();
-    if let Some(token) = leader.take_heartbeat("n", &report, &[], now) {
-        let commands = leader.heartbeat_commands(&report, now);
+    let heartbeat = worker.next_heartbeat();
+    if let Some(token) = leader.take_heartbeat("n", &heartbeat, &[], now) {
+        let commands = leader.heartbeat_commands(&heartbeat, now);
         worker.execute_commands(token, &commands);
     }
 }
 
-/// The first leader's write: carried out now or returned, and what its leader is told.
+/// Executes the first leader's ledger write or returns it to be executed later, and gives that
+/// leader its outcome.
 fn write(
     leader: &mut Leader,
     store: &mut Store,
@@ -66,8 +67,8 @@
 ) -> Option<Txn> {
     let txn = batch.txn.clone();
     let (outcome, late) = match fate {
-        WriteFate::Answered => (store.apply(&txn), None),
-        WriteFate::AnswerLost => {
+        WriteFate::Confirmed => (store.apply(&txn), None),
+        WriteFate::ResponseLost => {
             store.apply(&txn);
             (WriteOutcome::Unknown, None)
         }
@@ -77,20 +78,20 @@
     late
 }
 
-/// A full team's tasks go to a machine that came up two seconds ago, and the leader ends.
-/// Returns the machine and the next leader, elected at 4 s.
-fn failed_over(store: &mut Store, fate: WriteFate) -> (Worker, Leader) {
+/// Places tasks that fill the team's quota on a machine that is up for two seconds, and ends the
+/// leader. Returns the machine and the next leader, elected at 4 s.
+fn new_machine_after_failover(store: &mut Store, fate: WriteFate) -> (Worker, Leader) {
     let mut worker = Worker::new(NEW);
     let mut first = store.elect(1, 0.0);
     submit(&mut first, store, &job("wk-000001", 8), 0.0);
     rent(&mut first, 0.5);
-    let report = worker.next_heartbeat();
-    first.take_heartbeat("n", &report, &[], 2.0);
+    let heartbeat = worker.next_heartbeat();
+    first.take_heartbeat("n", &heartbeat, &[], 2.0);
     first.place_pending(2.0);
     let batch = first.ledger_batch().unwrap();
     let late = write(&mut first, store, batch, fate);
-    start_all(&mut first, &mut worker, 2.5);
-    let started = if fate == WriteFate::Answered { 4 } else { 0 };
+    execute_all_commands(&mut first, &mut worker, 2.5);
+    let started = if fate == WriteFate::Confirmed { 4 } else { 0 };
     assert_eq!(worker.running(), started, "{fate:?}");
     let late_at_once = late
         .clone()
@@ -113,7 +114,7 @@
 fn the_next_leader_knows_the_tasks_of_a_new_machine_or_it_has_none() {
     for fate in WRITE_FATES {
         let mut store = Store::default();
-        let (worker, next) = failed_over(&mut store, fate);
+        let (worker, next) = new_machine_after_failover(&mut store, fate);
         let held = next.placements_held();
         for t in &worker.tasks {
             let row = (NEW.to_string(), t.task.clone(), t.attempt);
@@ -124,7 +125,7 @@
     }
 }
 
-/// Rents and returns as asked, but can't reach the machine that the list lacks.
+/// Executes the cloud calls, except for the machine that the cloud's list lacks.
 fn apply_cloud_calls(leader: &mut Leader, machines: &mut Vec<Worker>, now: f64) {
     for call in leader.autoscale(now) {
         match call {
@@ -142,13 +143,14 @@
     }
 }
 
-/// It is silent to the next leader, and no list names it: its tasks start nowhere else and
-/// count for their team until every grant and lease is over, and then they do start.
+/// The machine is silent to the next leader, and no list names it. Its tasks start nowhere else
+/// and count towards the team's quota until every shard lease and worker lease has expired; then
+/// they start elsewhere.
 #[test]
 fn tasks_of_a_silent_unlisted_machine_start_elsewhere_only_after_its_leases() {
     for fate in WRITE_FATES {
         let mut store = Store::default();
-        let (mut lost, mut next) = failed_over(&mut store, fate);
+        let (mut lost, mut next) = new_machine_after_failover(&mut store, fate);
         let over = 4.0 + next.timing.shard_lease_bound_s() + next.timing.tasks_gone_after_s();
         let mut others = vec![Worker::new("vm-1")];
         let mut now = 4.0;
@@ -180,12 +182,12 @@
     }
 }
 
-/// The same machine reports to the next leader, which had never heard of it: it is used.
+/// The machine sends a heartbeat to the next leader, which does not know it, and is used.
 #[test]
-fn a_new_machine_that_only_the_last_leader_met_is_adopted() {
+fn a_new_machine_known_only_to_the_previous_leader_is_adopted() {
     for fate in WRITE_FATES {
         let mut store = Store::default();
-        let (mut worker, mut next) = failed_over(&mut store, fate);
+        let (mut worker, mut next) = new_machine_after_failover(&mut store, fate);
         let mut now = 4.0;
         while now < 12.0 {
             now += 0.5;
@@ -203,23 +205,23 @@
     }
 }
 
-/// Two leaders in a row end like that, each after a machine of its own was up at once.
+/// Two successive leaders fail like that, each after a machine that it rented was up at once.
 #[test]
-fn new_machines_of_two_leaders_in_a_row_keep_the_quota() {
+fn tasks_on_new_machines_of_two_successive_leaders_stay_within_the_quota() {
     for (first, second) in WRITE_FATES
         .iter()
         .flat_map(|a| WRITE_FATES.map(|b| (*a, b)))
     {
         let mut store = Store::default();
-        let (one, mut next) = failed_over(&mut store, first);
+        let (one, mut next) = new_machine_after_failover(&mut store, first);
         let mut two = Worker::new("vm-8");
-        let report = two.next_heartbeat();
-        next.take_heartbeat("n", &report, &[], 5.0);
+        let heartbeat = two.next_heartbeat();
+        next.take_heartbeat("n", &heartbeat, &[], 5.0);
         next.place_pending(5.0);
         let late = next
             .ledger_batch()
             .and_then(|batch| write(&mut next, &mut store, batch, second));
-        start_all(&mut next, &mut two, 5.5);
+        execute_all_commands(&mut next, &mut two, 5.5);
         if let Some(txn) = late
             .clone()
             .filter(|_| second == WriteFate::LateBeforeElection)
@@ -244,8 +246,8 @@
     }
 }
 
-/// A start that the first leader sent straight to the new machine arrives when the next
-/// one leads and has placed the task elsewhere, or has not: the token decides.
+/// A direct start of the first leader arrives at the new machine under the next leader, which may
+/// have placed the task elsewhere; the fencing token decides whether it is executed.
 #[test]
 fn a_late_start_at_a_new_machine_is_fenced_before_its_task_is_placed_again() {
     let (mut store, mut worker) = (Store::default(), Worker::new(NEW));
@@ -255,21 +257,21 @@
     first.take_heartbeat("n", &worker.next_heartbeat(), &[], 2.0);
     first.place_pending(2.0);
     write_all(&mut first, &mut store);
-    let orders: Vec<DirectCommands> = first
+    let direct_commands: Vec<DirectCommands> = first
         .due_direct_commands(2.5)
         .into_values()
         .flatten()
         .map(|due| due.commands)
         .collect();
     let start = |c: &Command| matches!(c, Command::Start { .. });
-    assert!(orders.iter().any(|o| o.commands.iter().any(start)));
+    assert!(direct_commands.iter().any(|o| o.commands.iter().any(start)));
     let mut next = store.elect(2, 4.0);
     let mut other = Worker::new("vm-1");
     for n in 0..4 {
         let now = 5.0 + f64::from(n);
         exchange_heartbeat(&mut next, &mut store, &mut worker, "n", now);
         exchange_heartbeat(&mut next, &mut store, &mut other, "n", now);
-        for o in &orders {
+        for o in &direct_commands {
             worker.execute_commands(o.fencing_token, &o.commands);
         }
         assert!(
--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -1,5 +1,5 @@
-//! Jobs that wait for others, and values that don't fit, against scripted workers and a
-//! state service that looks at sizes.
+//! Jobs with dependencies, and records split to fit smaller value sizes, with scripted workers and
+//! a store that enforces its limits.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use cherrywood_wire::user::{JobState, Priority, Submission};
 use common::*;
 
-fn after(id: &str, needs: &[&str]) -> Submission {
+fn job_after(id: &str, needs: &[&str]) -> Submission {
     Submission {
         dependencies: needs.iter().map(|n| (*n).to_string()).collect(),
         team: "wide".into(),
@@ -18,20 +18,20 @@
     }
 }
 
-fn end(worker: &mut Worker, of: &str) {
-    let own = worker.tasks.iter_mut().filter(|t| t.task.starts_with(of));
-    own.for_each(|t| t.exit = Some(cherrywood_wire::agent::ExitCause::Done));
+fn complete_tasks(worker: &mut Worker, id: &str) {
+    let tasks = worker.tasks.iter_mut().filter(|t| t.task.starts_with(id));
+    tasks.for_each(|t| t.exit = Some(cherrywood_wire::agent::ExitCause::Done));
 }
 
-fn started(worker: &Worker, of: &str) -> usize {
+fn started(worker: &Worker, id: &str) -> usize {
     worker
         .tasks
         .iter()
-        .filter(|t| t.task.starts_with(of))
+        .filter(|t| t.task.starts_with(id))
         .count()
 }
 
-fn beats(leader: &mut Leader, store: &mut Store, worker: &mut Worker, from: f64) {
+fn exchange_heartbeats(leader: &mut Leader, store: &mut Store, worker: &mut Worker, from: f64) {
     for n in 0..4 {
         let now = from + f64::from(n);
         store.answer_job_lookups(leader, now);
@@ -40,75 +40,80 @@
     }
 }
 
-/// What a new leader inherits decides; nothing that the last one had in memory does. The
-/// leader is lost between the commit of `done` and the start, and the next hears how the
-/// needed job ended only later: nothing starts before it has.
+/// Whether a job may start depends on stored records alone, not on a leader's memory. The leader
+/// fails between the commit of `done` and the start, and the next one reads the final state of
+/// the needed job later; nothing starts before.
 #[test]
-fn a_job_starts_when_what_it_needs_is_committed_whoever_leads() {
+fn a_job_starts_after_its_dependencies_are_committed_as_done_across_a_failover() {
     let mut store = Store::default();
     let mut leader = store.elect(1, 0.0);
     let mut worker = Worker::new("vm-1");
-    submit(&mut leader, &mut store, &after("wk-000001", &[]), 0.0);
+    submit(&mut leader, &mut store, &job_after("wk-000001", &[]), 0.0);
     submit(
         &mut leader,
         &mut store,
-        &after("wk-000002", &["wk-000001"]),
+        &job_after("wk-000002", &["wk-000001"]),
         0.0,
     );
-    beats(&mut leader, &mut store, &mut worker, 0.0);
+    exchange_heartbeats(&mut leader, &mut store, &mut worker, 0.0);
     assert_eq!(
         (started(&worker, "wk-000001"), started(&worker, "wk-000002")),
         (2, 0)
     );
-    assert_eq!(leader.queue_lengths(), vec![0, 0, 0], "in no level");
-    // All of its tasks are done, but that isn't committed.
-    end(&mut worker, "wk-000001");
+    assert_eq!(
+        leader.queue_lengths(),
+        vec![0, 0, 0],
+        "the waiting job is in no level"
+    );
+    // All tasks of the needed job are done, but that isn't committed.
+    complete_tasks(&mut worker, "wk-000001");
     let heartbeat = worker.next_heartbeat();
     leader.take_heartbeat("n1", &heartbeat, &[], 5.0).unwrap();
     leader.place_pending(5.0);
     assert!(leader.ledger_batch().is_none());
     let batch = leader.job_batch(true, 5.0).unwrap();
     assert!(matches!(store.apply(&batch.txn), WriteOutcome::Applied(_)));
-    // The leader is lost here; the next one knows of a job that waits.
+    // The leader fails here; the next one recovers a waiting job.
     let mut leader = store.elect(2, 6.0);
     assert_eq!(leader.jobs_to_look_up(), vec!["wk-000001".to_string()]);
     exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 7.0);
     assert_eq!(
         started(&worker, "wk-000002"),
         0,
-        "nobody has told how it ended"
+        "the final state of the needed job is not known yet"
     );
-    beats(&mut leader, &mut store, &mut worker, 8.0);
+    exchange_heartbeats(&mut leader, &mut store, &mut worker, 8.0);
     assert_eq!(started(&worker, "wk-000002"), 2);
     leader.audit().unwrap();
-    // Lost with its machine, its tasks wait like others'.
+    // After the loss of its machine its tasks wait like those of any job.
     let mut leader = store.elect(3, 20.0);
     leader.machines_deleted(&["vm-1".into()], 21.0);
     assert_eq!(
         leader.queue_lengths().iter().sum::<u32>(),
         0,
-        "until it is known again"
+        "until its final state is known again"
     );
     store.answer_job_lookups(&mut leader, 21.0);
     assert_eq!(leader.queue_lengths().iter().sum::<u32>(), 2);
 }
 
-/// Ready at once with the leader's own commit, also if the watch tells of it first.
+/// A job is ready at once after the leader's own commit, also if the watch shows the commit
+/// before the response to the transaction arrives.
 #[test]
-fn a_commit_makes_ready_whatever_is_heard_first() {
+fn a_commit_makes_dependents_ready_whether_the_response_or_the_watch_is_first() {
     for watch_first in [false, true] {
         let mut store = Store::default();
         let mut leader = store.elect(1, 0.0);
         let mut worker = Worker::new("vm-1");
-        submit(&mut leader, &mut store, &after("wk-000001", &[]), 0.0);
+        submit(&mut leader, &mut store, &job_after("wk-000001", &[]), 0.0);
         submit(
             &mut leader,
             &mut store,
-            &after("wk-000002", &["wk-000001"]),
+            &job_after("wk-000002", &["wk-000001"]),
             0.0,
         );
-        beats(&mut leader, &mut store, &mut worker, 0.0);
-        end(&mut worker, "wk-000001");
+        exchange_heartbeats(&mut leader, &mut store, &mut worker, 0.0);
+        complete_tasks(&mut worker, "wk-000001");
         leader
             .take_heartbeat("n1", &worker.next_heartbeat(), &[], 5.0)
             .unwrap();
@@ -126,11 +131,11 @@
     }
 }
 
-/// A cancellation reaches all that need the job, also what is submitted later or while it
-/// crosses; the walk is derived anew by a leader that takes over in its middle, and its
-/// transactions fit. What was done before it stays, and so does what has no part in it.
+/// A cancellation reaches all jobs that depend on the cancelled one, also those submitted later or
+/// at the same time. A leader elected in the middle derives the rest anew, and the transactions
+/// fit the limits. Jobs done before stay done, and unrelated jobs are unaffected.
 #[test]
-fn a_cancellation_reaches_the_closure_across_a_takeover() {
+fn a_cancellation_reaches_all_transitive_dependents_across_a_failover() {
     let mut store = Store {
         limits: Some((2048, 16)),
         ..Store::default()
@@ -144,11 +149,11 @@
         ("wk-000003", &["wk-000002"]),
         ("wk-000009", &[]),
     ] {
-        submit(&mut leader, &mut store, &after(id, needs), 0.0);
+        submit(&mut leader, &mut store, &job_after(id, needs), 0.0);
     }
     let many: Vec<String> = (0..1000).map(|n| format!("wk-1{n:05}")).collect();
     for id in &many {
-        submit(&mut leader, &mut store, &after(id, &["wk-000001"]), 0.0);
+        submit(&mut leader, &mut store, &job_after(id, &["wk-000001"]), 0.0);
     }
     store.cancel("wk-000001");
     leader.remove_job("wk-000001");
@@ -156,10 +161,10 @@
     let batch = leader.job_batch(true, 1.0).unwrap();
     let outcome = store.apply(&batch.txn);
     assert!(batch.has_final_states() && matches!(outcome, WriteOutcome::Applied(_)));
-    // Called queued for half of the time, and then nothing until its end is written.
+    // Counted as queued for half of the time, and then not at all until its final state is written.
     assert_eq!(leader.task_counts(&many[999], 2.0), Some((0, 0)));
     assert_eq!(leader.task_counts(&many[999], 30.0), Some(COUNTS_WITHHELD));
-    // The leader ends here, in the middle of it.
+    // The leader fails here, in the middle of the cancellations.
     let mut leader = store.elect(2, 2.0);
     leader.set_store_limits(small);
     store.answer_job_lookups(&mut leader, 3.0);
@@ -172,17 +177,17 @@
         assert_eq!(store.final_state(id), Some(JobState::Cancelled), "{id}");
     }
     assert_eq!(leader.live_job_ids(), vec!["wk-000009".to_string()]);
-    // Named after it was cancelled, and after that was forgotten.
+    // Jobs that name a cancelled job after its cancellation, and after that was forgotten.
     submit(
         &mut leader,
         &mut store,
-        &after("wk-000004", &["wk-000003", "wk-000009"]),
+        &job_after("wk-000004", &["wk-000003", "wk-000009"]),
         4.0,
     );
     submit(
         &mut leader,
         &mut store,
-        &after("wk-000005", &["wk-000004"]),
+        &job_after("wk-000005", &["wk-000004"]),
         4.0,
     );
     store.answer_job_lookups(&mut leader, 5.0);
@@ -191,22 +196,23 @@
     assert_eq!(store.final_state("wk-000009"), None);
 }
 
-/// The cancellation and the end of the last task cross: one guard decides. Where `done`
-/// is first, the cancellation is answered so and those after it go on.
+/// The cancellation and the completion of the last task cross, and one guard decides. If `done`
+/// is first, the response to the cancellation says so and the dependents run; here the
+/// cancellation is first, and the dependent is cancelled.
 #[test]
-fn a_cancellation_that_comes_after_done_leaves_the_rest_alone() {
+fn a_cancellation_written_before_done_cancels_the_dependents() {
     let mut store = Store::default();
     let mut leader = store.elect(1, 0.0);
     let mut worker = Worker::new("vm-1");
-    submit(&mut leader, &mut store, &after("wk-000001", &[]), 0.0);
+    submit(&mut leader, &mut store, &job_after("wk-000001", &[]), 0.0);
     submit(
         &mut leader,
         &mut store,
-        &after("wk-000002", &["wk-000001"]),
+        &job_after("wk-000002", &["wk-000001"]),
         0.0,
     );
-    beats(&mut leader, &mut store, &mut worker, 0.0);
-    end(&mut worker, "wk-000001");
+    exchange_heartbeats(&mut leader, &mut store, &mut worker, 0.0);
+    complete_tasks(&mut worker, "wk-000001");
     leader
         .take_heartbeat("n1", &worker.next_heartbeat(), &[], 5.0)
         .unwrap();
@@ -215,7 +221,7 @@
     let outcome = store.apply(&late.txn);
     assert!(
         matches!(outcome, WriteOutcome::Conflict(_)),
-        "cancelled first"
+        "the cancellation was first"
     );
     leader.job_batch_done(late, &outcome, 5.0);
     reread(&mut leader, &store);
@@ -224,17 +230,17 @@
     assert_eq!(store.final_state("wk-000002"), Some(JobState::Cancelled));
 }
 
-/// While a job waits its team has its whole limit, and nothing is rented for it; the rank
-/// and the deadline of the last job are its own.
+/// While a job waits for its dependencies it uses nothing of its team's quota and no machine is
+/// rented for it. Jobs that it needs have the priority and the deadline of the last job.
 #[test]
-fn a_waiting_job_is_in_no_sum_and_has_the_rank_of_what_needs_it() {
+fn a_waiting_job_uses_no_quota_and_its_dependencies_inherit_its_priority() {
     let mut store = Store::default();
     let mut leader = store.elect(1, 0.0);
     let mut worker = Worker::new("vm-1");
     let low = |id: &str, needs: &[&str]| Submission {
         priority: Priority::Low,
         tasks: 4,
-        ..after(id, needs)
+        ..job_after(id, needs)
     };
     submit(&mut leader, &mut store, &low("wk-000001", &[]), 0.0);
     submit(
@@ -246,20 +252,20 @@
     let last = Submission {
         priority: Priority::High,
         deadline_s: Some(100.0),
-        ..after("wk-000003", &["wk-000002"])
+        ..job_after("wk-000003", &["wk-000002"])
     };
     submit(&mut leader, &mut store, &last, 0.0);
-    // Of normal rank, and there before: the pipeline of high rank goes first.
+    // A job of normal priority is ready as well; the high-priority pipeline goes first.
     submit(
         &mut leader,
         &mut store,
         &Submission {
             tasks: 4,
-            ..after("wk-000009", &[])
+            ..job_after("wk-000009", &[])
         },
         0.0,
     );
-    beats(&mut leader, &mut store, &mut worker, 0.0);
+    exchange_heartbeats(&mut leader, &mut store, &mut worker, 0.0);
     assert_eq!(
         (started(&worker, "wk-000001"), started(&worker, "wk-000009")),
         (4, 0)
@@ -267,14 +273,14 @@
     assert_eq!(
         leader.queue_lengths().iter().sum::<u32>(),
         4,
-        "those of one job"
+        "the tasks of one job only"
     );
 }
 
-/// Production's own shape of a job's record: it ignores what it doesn't know, and finds
-/// a job that no machine may run.
+/// The release in production ignores the fields of a job record that it doesn't know, and finds a
+/// job that no machine type is allowed to run.
 #[test]
-fn production_reads_a_waiting_job_as_one_that_fits_no_machine() {
+fn the_release_in_production_reads_a_waiting_job_as_one_that_fits_no_machine() {
     #[derive(serde::Deserialize)]
     struct Old {
         job: OldJob,
@@ -287,7 +293,7 @@
     }
     let spec = Submission {
         machine_types: Some(vec!["m8".into()]),
-        ..after("wk-000002", &["wk-000001"])
+        ..job_after("wk-000002", &["wk-000001"])
     };
     let value = JobRecord::new(spec.clone(), 7);
     let old: Old = cherrywood_wire::decode(&cherrywood_wire::encode(&value)).unwrap();
@@ -295,13 +301,13 @@
     assert_eq!(
         old.job.breeds_of_box,
         Some(Vec::new()),
-        "no type is allowed"
+        "no machine type is allowed"
     );
     let read: JobRecord = cherrywood_wire::decode(&cherrywood_wire::encode(&value)).unwrap();
     assert_eq!(read.into_submission(), spec);
 }
 
-// --- values that don't fit ---
+// --- records larger than a value ---
 
 fn rates(value_kb: f64, txn_ops: usize) -> ConfiguredLimits {
     ConfiguredLimits {
@@ -320,16 +326,17 @@
     own.cloned().collect()
 }
 
-/// The largest array, written whole by production: once the limits have dropped its
-/// progress is in parts, of which each takeover reads all, also a half done rewrite.
+/// The release in production writes the progress of the largest array as one value. Once the
+/// limits are lower the progress is written in parts, and every new leader reads all of them, also
+/// after an incomplete rewrite.
 #[test]
-fn the_progress_of_the_largest_array_moves_into_parts_and_loses_nothing() {
+fn the_progress_of_the_largest_array_is_split_into_parts_without_loss() {
     let id = "wk-000001";
     let mut store = Store::default();
     let mut leader = store.elect(1, 0.0);
     let big = Submission {
         tasks: 100_000,
-        ..after(id, &[])
+        ..job_after(id, &[])
     };
     submit(&mut leader, &mut store, &big, 0.0);
     let done = |leader: &mut Leader, worker: &mut Worker, tasks: std::ops::Range<u32>, now| {
@@ -350,7 +357,7 @@
     assert_eq!(
         progress_of(&store, id),
         [keys::progress(id)],
-        "whole, as production has it"
+        "one value, as the release in production writes it"
     );
     let small = StoreLimits::new(rates(32.0, 48), rates(2.0, 16));
     let mut dropped = small;
@@ -361,15 +368,15 @@
     let batch = leader.job_batch(true, 2.0).unwrap();
     let outcome = store.apply(&batch.txn);
     leader.job_batch_done(batch, &outcome, 2.0);
-    // The leader ends between two of these transactions, and so does the next one.
-    for (epoch, upto) in [(2, 95_000), (3, 99_999)] {
-        leader = store.elect(epoch, 3.0);
+    // The leader fails between two of these transactions, and so does the next one.
+    for (term, upto) in [(2, 95_000), (3, 99_999)] {
+        leader = store.elect(term, 3.0);
         leader.set_store_limits(dropped);
         assert!(
             leader.task_counts(id, 3.0).unwrap().0 >= 60_000,
-            "epoch {epoch}"
+            "term {term}"
         );
-        let mut again = Worker::new(&format!("vm-{epoch}"));
+        let mut again = Worker::new(&format!("vm-{term}"));
         done(&mut leader, &mut again, 60_000..upto, 3.0);
         let batch = leader.job_batch(true, 3.0).unwrap();
         let outcome = store.apply(&batch.txn);
@@ -381,7 +388,7 @@
     leader.set_store_limits(dropped);
     assert_eq!(leader.task_counts(id, 5.0).unwrap().0, 99_999);
     assert_eq!(leader.queue_lengths().iter().sum::<u32>(), 1);
-    // Done: the parts go with it.
+    // The parts are deleted when the job is done.
     let mut worker = Worker::new("vm-9");
     done(&mut leader, &mut worker, 99_999..100_000, 6.0);
     write_all_at(&mut leader, &mut store, 6.0);
@@ -393,17 +400,18 @@
     );
 }
 
-/// Entries of the ledger fit the smaller size from the start, several in a transaction;
-/// a takeover finds the same as from large ones, and production's are shortened too.
+/// Ledger entries fit the smaller value size from the start, several in a transaction. A new
+/// leader recovers the same placements as from large entries, and entries of the release in
+/// production are written again in the smaller size.
 #[test]
-fn ledger_entries_fit_the_smaller_size_and_hold_the_same() {
+fn ledger_entries_within_the_smaller_value_size_hold_the_same_placements() {
     let mut store = Store::default();
     let mut leader = store.elect(1, 0.0);
     let place = |leader: &mut Leader, store: &mut Store, at: u32, now: f64| {
         for n in 0..60 {
             let spec = Submission {
                 cpus: 0.5,
-                ..after(&format!("wk-{:06}", at + n), &[])
+                ..job_after(&format!("wk-{:06}", at + n), &[])
             };
             submit(leader, store, &Submission { tasks: 30, ..spec }, now);
         }
@@ -416,7 +424,7 @@
         leader.place_pending(now);
         write_all_at(leader, store, now);
     };
-    // Production's, of today's size.
+    // Entries of the release in production, of today's size.
     place(&mut leader, &mut store, 1000, 1.0);
     let big = store
         .records
@@ -439,7 +447,7 @@
     assert!(entries > big + 5, "{entries}");
     let mut leader = store.elect(3, 4.0);
     assert_eq!(leader.placements_held(), held);
-    // What is off its machine leaves the log, in the same few changes at a time.
+    // Freed placements leave the ledger, within the same number of changes per transaction.
     leader.set_store_limits(small);
     let names: Vec<String> = (1000..3000).map(|n| format!("vm-{n:06}")).collect();
     leader.machines_deleted(&names, 5.0);
@@ -459,10 +467,10 @@
     assert!(!rows, "{rows}");
 }
 
-/// Parts of a submission were there and its record wasn't, when the leader looked: it took
-/// them for left behind. The record that came meanwhile names them, and they stay.
+/// The leader finds parts of a submission without a record and takes them for left over. The
+/// record that is written in the meantime names them, so they must not be deleted.
 #[test]
-fn parts_that_a_record_names_meanwhile_are_not_swept() {
+fn submission_parts_that_a_newly_written_record_names_are_not_deleted() {
     let part = |store: &mut Store, id: &str| {
         let key = format!("{}0", keys::parts(&keys::submission(id), 5));
         let text = String::new();
--- a/crates/control/tests/preemption.rs
+++ b/crates/control/tests/preemption.rs
@@ -1,5 +1,5 @@
-//! Best-effort work of guest teams, which have no guarantee: when it is preempted, and what
-//! is rented for it.
+//! Best-effort work of teams without a guarantee: when it is preempted, and which machines are
+//! rented for it.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use cherrywood_wire::user::{Priority, Submission};
 use common::*;
 
-fn guest(id: &str, tasks: u32) -> Submission {
+fn best_effort_job(id: &str, tasks: u32) -> Submission {
     Submission {
         team: "guest".into(),
         priority: Priority::Low,
@@ -27,26 +27,29 @@
     commands.iter().filter_map(of).collect()
 }
 
-/// Guests' tasks of 300 s held 5,000 of 12,400 CPUs while urgent jobs waited
-/// for minutes: nothing was ever stopped for a higher rank.
+/// Without preemption, best-effort tasks of 300 s held 5,000 of 12,400 CPUs while high-priority
+/// jobs waited for minutes.
 #[test]
 fn best_effort_tasks_are_preempted_for_other_work_and_resume_afterwards() {
     let mut cluster = TestCluster::new();
     let mut worker = Worker::new("vm-1");
-    cluster.submit(&guest("wk-000001", 4), 0.0);
+    cluster.submit(&best_effort_job("wk-000001", 4), 0.0);
     cluster.heartbeat(&mut worker, "n1", 1.0);
-    assert_eq!(worker.running(), 4, "it may use an idle machine");
+    assert_eq!(worker.running(), 4, "best-effort work uses an idle machine");
     cluster.submit(&job("wk-000002", 2), 2.0);
     cluster.leader.place_pending(2.1);
-    let orders = cluster.leader.due_direct_commands(2.1);
-    let sent: Vec<f64> = orders
+    let due = cluster.leader.due_direct_commands(2.1);
+    let sent: Vec<f64> = due
         .values()
         .flatten()
         .flat_map(|due| stops(&due.commands.commands))
         .collect();
-    assert_eq!(sent.len(), 2, "room for the two that wait, and no more");
-    assert!(sent.iter().all(|s| *s >= 3.0), "time to save");
-    for AddressedCommands { commands: o, .. } in orders.values().flatten() {
+    assert_eq!(sent.len(), 2, "room for the two waiting tasks only");
+    assert!(
+        sent.iter().all(|s| *s >= 3.0),
+        "the grace period lets the task save a checkpoint"
+    );
+    for AddressedCommands { commands: o, .. } in due.values().flatten() {
         cluster
             .leader
             .direct_commands_done("vm-1", o, CommandOutcome::Executed);
@@ -54,11 +57,17 @@
     }
     cluster.heartbeat(&mut worker, "n1", 3.0);
     cluster.heartbeat(&mut worker, "n1", 4.0);
-    let of = |worker: &Worker, id: &str| {
+    let running_tasks_of = |worker: &Worker, id: &str| {
         let runs = |t: &&WorkerTask| t.is_running() && t.task.starts_with(id);
         worker.tasks.iter().filter(runs).count()
     };
-    assert_eq!((of(&worker, "wk-000001"), of(&worker, "wk-000002")), (2, 2));
+    assert_eq!(
+        (
+            running_tasks_of(&worker, "wk-000001"),
+            running_tasks_of(&worker, "wk-000002")
+        ),
+        (2, 2)
+    );
     for t in worker
         .tasks
         .iter_mut()
@@ -68,16 +77,20 @@
     }
     cluster.heartbeat(&mut worker, "n1", 20.0);
     cluster.heartbeat(&mut worker, "n1", 21.0);
-    assert_eq!(of(&worker, "wk-000001"), 4, "what was stopped goes on");
+    assert_eq!(
+        running_tasks_of(&worker, "wk-000001"),
+        4,
+        "the preempted tasks run again"
+    );
     cluster.leader.audit().unwrap();
 }
 
-/// A stop that got lost is sent again, and one that is being obeyed is not.
+/// A lost stop is sent again; one that the worker is executing is not.
 #[test]
-fn a_preemption_that_got_lost_is_sent_again() {
+fn a_lost_preemption_stop_is_sent_again() {
     let mut cluster = TestCluster::new();
     let mut worker = Worker::new("vm-1");
-    cluster.submit(&guest("wk-000001", 4), 0.0);
+    cluster.submit(&best_effort_job("wk-000001", 4), 0.0);
     cluster.heartbeat(&mut worker, "n1", 1.0);
     cluster.submit(&job("wk-000002", 4), 2.0);
     cluster.leader.place_pending(2.0);
@@ -102,14 +115,15 @@
     assert_eq!(asked, [8], "after five reports that show it running on");
 }
 
-/// Gating all low work starved guests' jobs that have an aim of their own.
+/// If all low-priority work were preemptible, best-effort jobs with an objective of their own
+/// would starve.
 #[test]
 fn low_priority_work_with_an_objective_is_not_preempted() {
     let mut cluster = TestCluster::new();
     let mut worker = Worker::new("vm-1");
     let aimed = Submission {
         class: "aimed".into(),
-        ..guest("wk-000001", 4)
+        ..best_effort_job("wk-000001", 4)
     };
     cluster.submit(&aimed, 0.0);
     cluster.heartbeat(&mut worker, "n1", 1.0);
@@ -119,11 +133,11 @@
     assert!(cluster.leader.due_direct_commands(2.1).is_empty());
 }
 
-/// Idle-time work rents cheap machines only.
+/// Best-effort work never rents on-demand machines.
 #[test]
 fn best_effort_work_rents_spot_machines_only() {
     let mut cluster = TestCluster::new();
-    cluster.submit(&guest("wk-000001", 400), 0.0);
+    cluster.submit(&best_effort_job("wk-000001", 400), 0.0);
     let rented = |calls: Vec<CloudCall>| {
         let of = |c: CloudCall| match c {
             CloudCall::Rent(r) => Some((r.spot, r)),
@@ -133,7 +147,8 @@
     };
     let calls = rented(cluster.leader.autoscale(1.0));
     assert!(!calls.is_empty() && calls.iter().all(|(spot, _)| *spot));
-    // There is no cheap capacity: ranked work would rent dear, this does not.
+    // There is no spot capacity: other work would rent on-demand machines, best-effort work
+    // does not.
     for (_, r) in &calls {
         cluster.leader.rental_answered(r, None, 1.0);
     }
--- a/crates/control/tests/shard_owner.rs
+++ b/crates/control/tests/shard_owner.rs
@@ -1,4 +1,4 @@
-//! Shard leases, and the run times that their owner measures.
+//! Shard leases, and the task run times that the shard owner measures.
 
 use cherrywood_control::ShardOwner;
 use cherrywood_wire::agent::{
@@ -6,12 +6,12 @@
 };
 
 #[test]
-fn a_shard_lease_counts_from_the_sending_of_its_request() {
+fn a_shard_lease_starts_when_its_request_is_sent() {
     let mut owner = ShardOwner::default();
     owner.lease_granted("vm-1", 5, 100.0, 20.0);
     assert_eq!(owner.valid_token("vm-1", 119.9), Some(5));
     assert_eq!(owner.valid_token("vm-1", 120.0), None);
-    // A late answer under an older token changes nothing.
+    // A late response under an older token changes nothing.
     owner.lease_granted("vm-1", 4, 130.0, 20.0);
     assert_eq!(owner.valid_token("vm-1", 131.0), None);
     owner.lease_granted("vm-1", 6, 130.0, 20.0);
@@ -21,7 +21,7 @@
 #[test]
 fn run_times_come_from_consecutive_heartbeats_of_one_incarnation() {
     let mut owner = ShardOwner::default();
-    let report = |incarnation, sequence, state, why| Heartbeat {
+    let heartbeat = |incarnation, sequence, state, exit_cause| Heartbeat {
         machine: "vm-1".into(),
         address: String::new(),
         machine_type: "k".into(),
@@ -35,16 +35,16 @@
             task: "wk-000001/0".into(),
             attempt: 1,
             state,
-            exit_cause: why,
+            exit_cause,
             checkpoint_saved: None,
         }],
     };
     assert!(
         owner
-            .observe_heartbeat(&report(1, 1, TaskState::Running, None), 10.0)
+            .observe_heartbeat(&heartbeat(1, 1, TaskState::Running, None), 10.0)
             .is_empty()
     );
-    let exited = report(1, 3, TaskState::Exited, Some(ExitCause::Done));
+    let exited = heartbeat(1, 3, TaskState::Exited, Some(ExitCause::Done));
     assert_eq!(
         owner.observe_heartbeat(&exited, 31.0),
         vec![("wk-000001/0".to_string(), 21.0)]
@@ -55,19 +55,19 @@
     );
     assert!(
         owner
-            .observe_heartbeat(&report(1, 2, TaskState::Running, None), 33.0)
+            .observe_heartbeat(&heartbeat(1, 2, TaskState::Running, None), 33.0)
             .is_empty()
     );
-    owner.observe_heartbeat(&report(1, 4, TaskState::Running, None), 34.0);
-    let other = report(2, 5, TaskState::Exited, Some(ExitCause::Done));
+    owner.observe_heartbeat(&heartbeat(1, 4, TaskState::Running, None), 34.0);
+    let other = heartbeat(2, 5, TaskState::Exited, Some(ExitCause::Done));
     assert!(
         owner.observe_heartbeat(&other, 40.0).is_empty(),
         "the task ran in another incarnation"
     );
 }
 
-/// A response with immediate stops is given, and doesn't extend the lease; nor does one
-/// without the leader. Under an older token than the newest no response is given.
+/// A response with immediate stops is sent without extending the shard lease, and so is a
+/// response without the leader. Under a token older than the newest no response is sent.
 #[test]
 fn a_response_with_stops_does_not_extend_the_shard_lease() {
     let mut owner = ShardOwner::default();
@@ -83,24 +83,24 @@
         })
     };
     let lease_s = 20.0;
-    let mut answer = |from_leader, sent| {
+    let mut respond = |from_leader, sent| {
         owner.heartbeat_response("vm-1", from_leader, sent, sent + 0.1, lease_s)
     };
-    assert_eq!(answer(None, 99.0), None);
-    assert_eq!(answer(response(5, vec![]), 100.0), response(5, vec![]));
-    let over = response(5, vec![stop(0.0)]);
-    assert_eq!(answer(over.clone(), 115.0), over);
+    assert_eq!(respond(None, 99.0), None);
+    assert_eq!(respond(response(5, vec![]), 100.0), response(5, vec![]));
+    let with_stop = response(5, vec![stop(0.0)]);
+    assert_eq!(respond(with_stop.clone(), 115.0), with_stop);
     assert_eq!(
-        answer(None, 119.0),
+        respond(None, 119.0),
         response(5, vec![]),
-        "the rest of its lease"
+        "the lease has not expired yet"
     );
-    assert_eq!(answer(None, 120.5), None, "it was not extended");
-    // A task that is told to save may go on for so long.
-    let saves = response(5, vec![stop(10.0)]);
-    assert_eq!(answer(saves.clone(), 130.0), saves);
-    assert_eq!(answer(None, 149.0), response(5, vec![]));
-    // Nothing is answered under a token older than the newest.
-    assert!(answer(response(7, vec![stop(0.0)]), 149.0).is_some());
-    assert_eq!(answer(over, 149.5), None);
+    assert_eq!(respond(None, 120.5), None, "the lease was not extended");
+    // A stop with a grace period lets the task run on for that long, so the lease is extended.
+    let with_grace = response(5, vec![stop(10.0)]);
+    assert_eq!(respond(with_grace.clone(), 130.0), with_grace);
+    assert_eq!(respond(None, 149.0), response(5, vec![]));
+    // No response is sent under a token older than the newest.
+    assert!(respond(response(7, vec![stop(0.0)]), 149.0).is_some());
+    assert_eq!(respond(with_stop, 149.5), None);
 }
--- a/crates/control/tests/silent_machines.rs
+++ b/crates/control/tests/silent_machines.rs
@@ -1,5 +1,5 @@
-//! Machines whose heartbeats reach no controller while direct commands reach them,
-//! beside machines that receive no responses, also across a failover.
+//! One-way partitions, also across a failover: machines whose heartbeats reach no controller
+//! while direct commands reach them, and machines that receive no responses.
 
 mod common;
 
@@ -10,22 +10,23 @@
 
 const LEASE_S: f64 = 10.0;
 
-/// A direct command arrives at its worker, which answers with its status.
+/// Executes direct commands at their worker and gives the leader the status in its response.
 fn execute_commands(
     cluster: &mut TestCluster,
     worker: &mut Worker,
-    orders: &DirectCommands,
+    commands: &DirectCommands,
     now: f64,
 ) {
-    if orders.fencing_token >= worker.fencing_token && orders.incarnation == worker.incarnation {
-        worker.execute_commands(orders.fencing_token, &orders.commands);
+    if commands.fencing_token >= worker.fencing_token && commands.incarnation == worker.incarnation
+    {
+        worker.execute_commands(commands.fencing_token, &commands.commands);
     }
     cluster
         .leader
         .take_direct_status(&worker.next_heartbeat(), now);
 }
 
-/// What the leader sends straight to the machine: starts, and stops.
+/// Returns the direct starts and stops that the leader sends to the machine.
 fn direct(leader: &mut Leader, now: f64) -> Vec<DirectCommands> {
     let starts = leader.due_direct_commands(now).into_values().flatten();
     let mut all: Vec<DirectCommands> = starts.map(|due| due.commands).collect();
@@ -38,35 +39,39 @@
     all
 }
 
-/// It was left to the worker's lease: no response carried the stop, and no direct
-/// command was sent.
+/// No response carries the stop to a silent machine. Without a direct command, cancelled tasks
+/// would run until the worker's lease expires.
 #[test]
 fn cancelled_work_on_a_silent_machine_is_stopped_by_a_direct_command() {
     let (mut cluster, mut worker) = TestCluster::with_running_job(2);
     cluster.cancel("wk-000001");
     assert!(
         cluster.leader.due_direct_stops(3.0).is_empty(),
-        "its next report is due: the answer has the stop"
+        "its next heartbeat is due: the response has the stop"
     );
     let mut now = 3.0;
     while worker.running() > 0 {
         now += 1.0;
-        assert!(now < 2.0 + LEASE_S, "its lease had to end it");
-        for orders in direct(&mut cluster.leader, now) {
-            execute_commands(&mut cluster, &mut worker, &orders, now);
+        assert!(
+            now < 2.0 + LEASE_S,
+            "the worker's lease had to end the task"
+        );
+        for commands in direct(&mut cluster.leader, now) {
+            execute_commands(&mut cluster, &mut worker, &commands, now);
         }
     }
     assert!(
         cluster.leader.placements_held().is_empty(),
-        "the answer shows what has exited"
+        "the response shows the exited tasks"
     );
     cluster.leader.audit().unwrap();
-    // It is told to forget its tasks once its heartbeats arrive again, and nothing is lost by that.
+    // The worker is told to forget its tasks once its heartbeats arrive again; they are recorded
+    // by then.
     cluster.heartbeat(&mut worker, "n1", 12.0);
     assert!(worker.tasks.is_empty());
 }
 
-/// The machine's address is in the cloud's list, and what runs there in the ledger.
+/// The new leader has the machine's address from the cloud's list and its tasks from the ledger.
 #[test]
 fn a_new_leader_stops_cancelled_work_on_a_machine_it_never_heard_from() {
     let (mut cluster, mut worker) = TestCluster::with_running_job(2);
@@ -86,7 +91,7 @@
         .apply_machine_list(&[listed(ListedMachineState::Running)], 4.0);
     assert!(
         cluster.leader.due_direct_stops(5.0).is_empty(),
-        "its next report is due"
+        "its next heartbeat is due"
     );
     let stops = cluster.leader.due_direct_stops(6.0);
     assert_eq!(stops[0].address, "10.1.0.1:9000");
@@ -97,16 +102,16 @@
     );
     assert!(
         cluster.leader.extend_shard("n1", 6.5).is_empty(),
-        "nothing is renewed by that"
+        "a status renews no shard lease"
     );
-    // Its first heartbeat is taken as such.
+    // The machine's first heartbeat is taken.
     cluster.heartbeat(&mut worker, "n1", 8.0);
     cluster.heartbeat(&mut worker, "n1", 9.0);
     assert!(worker.tasks.is_empty());
     cluster.leader.audit().unwrap();
 }
 
-/// Every few heartbeat intervals while it gets no answer, and not more often.
+/// The stop is sent every few heartbeat intervals, and not more often, while there is no response.
 #[test]
 fn a_direct_stop_to_a_silent_machine_is_repeated() {
     let (mut cluster, _) = TestCluster::with_running_job(2);
@@ -121,28 +126,28 @@
     assert!((3..=5).contains(&sent), "{sent}");
 }
 
-/// The machine's work is freed, and its lease ends, when they would have without the
-/// answers.
+/// The machine's placements are freed and its shard lease ends at the same times as without the
+/// responses.
 #[test]
-fn answers_to_direct_commands_extend_no_lease() {
-    let over = |answers: bool| {
+fn responses_to_direct_commands_extend_no_lease() {
+    let freed_and_unleased_at = |has_responses: bool| {
         let (mut cluster, mut worker) = TestCluster::with_running_job(2);
         cluster.submit(&job("wk-000002", 1), 2.0);
         cluster.heartbeat(&mut worker, "n1", 2.5);
         cluster.cancel("wk-000001");
         let mut now = 2.5;
-        let mut in_block = 0.0;
+        let mut last_extended = 0.0;
         loop {
             now += 0.5;
-            let orders = direct(&mut cluster.leader, now);
+            let commands = direct(&mut cluster.leader, now);
             let stops =
                 |o: &DirectCommands| o.commands.iter().all(|c| matches!(c, Command::Stop { .. }));
             assert!(
-                now < 5.0 || orders.iter().all(stops),
-                "no work once it is silent"
+                now < 5.0 || commands.iter().all(stops),
+                "no start is sent to a silent machine"
             );
-            if answers {
-                // Executed or not, it answers with its status.
+            if has_responses {
+                // The worker responds with its status, whether it executed the commands or not.
                 cluster
                     .leader
                     .take_direct_status(&worker.next_heartbeat(), now);
@@ -154,37 +159,40 @@
                 .iter()
                 .any(|m| m.0 == "vm-1")
             {
-                in_block = now;
+                last_extended = now;
             }
             cluster.leader.autoscale(now);
-            assert!(now < 100.0, "kept for good");
+            assert!(now < 100.0, "the placements are never freed");
             if cluster.leader.placements_held().is_empty() {
-                return (now, in_block);
+                return (now, last_extended);
             }
         }
     };
-    assert_eq!(over(false), over(true));
+    assert_eq!(freed_and_unleased_at(false), freed_and_unleased_at(true));
 }
 
-/// One machine's heartbeats arrive nowhere, another's arrive while it receives no
-/// responses, and the leader changes: neither gets work once it is known, both are
-/// freed on proof alone, and a silent one that is back keeps what ran on if its lease
-/// did.
+/// Heartbeats of one machine reach no controller, another machine receives no responses, and the
+/// leader changes. Neither machine is given work once its state is known, and the placements of
+/// both are freed only on proof that the tasks are gone.
 #[test]
 fn silent_machines_and_machines_without_responses_are_freed_only_on_proof_across_a_failover() {
     let mut cluster = TestCluster::new();
-    let (mut mute, mut deaf) = (Worker::new("vm-1"), Worker::new("vm-2"));
+    let (mut sends_nothing, mut receives_nothing) = (Worker::new("vm-1"), Worker::new("vm-2"));
     cluster.submit(&job("wk-000001", 8), 0.0);
     for now in [1.0, 2.0] {
-        cluster.heartbeat(&mut mute, "n1", now);
-        cluster.heartbeat(&mut deaf, "n1", now);
+        cluster.heartbeat(&mut sends_nothing, "n1", now);
+        cluster.heartbeat(&mut receives_nothing, "n1", now);
     }
-    assert_eq!((mute.running(), deaf.running()), (4, 4));
-    // From here on one sends and the other receives in vain; the leader ends.
+    assert_eq!(
+        (sends_nothing.running(), receives_nothing.running()),
+        (4, 4)
+    );
+    // From here on the heartbeats of one machine and the responses to the other are lost; the
+    // leader fails.
     cluster.fail_over(2, 4.0);
     for n in 5..12 {
         let now = f64::from(n);
-        let heartbeat = deaf.next_heartbeat();
+        let heartbeat = receives_nothing.next_heartbeat();
         cluster
             .leader
             .take_heartbeat("n1", &heartbeat, &[], now)
@@ -195,20 +203,20 @@
         cluster.leader.autoscale(now);
         assert!(
             cluster.leader.due_direct_commands(now).is_empty(),
-            "all that is placed was there before"
+            "nothing new is placed"
         );
     }
     assert_eq!(
         (cluster.placements_on("vm-1"), cluster.placements_on("vm-2")),
         (4, 4)
     );
-    // Both leases are over. The one that receives nothing says so, in a new incarnation under an
-    // old token.
-    for w in [&mut mute, &mut deaf] {
+    // Both worker leases expire. The heartbeat of the machine that receives nothing shows that by
+    // a new incarnation under an old token.
+    for w in [&mut sends_nothing, &mut receives_nothing] {
         w.incarnation += 1;
         w.tasks.clear();
     }
-    let heartbeat = deaf.next_heartbeat();
+    let heartbeat = receives_nothing.next_heartbeat();
     cluster
         .leader
         .take_heartbeat("n1", &heartbeat, &[], 13.0)
@@ -216,15 +224,19 @@
     assert_eq!(
         cluster.placements_on("vm-1"),
         4,
-        "not heard: it counts until its grants are over"
+        "not heard: its placements count until its leases expire"
     );
-    // Both links work again: proof for each.
+    // Both links work again, and heartbeats prove that the tasks are gone.
     for now in [14.0, 15.0, 16.0] {
-        for w in [&mut mute, &mut deaf] {
+        for w in [&mut sends_nothing, &mut receives_nothing] {
             cluster.heartbeat(w, "n1", now);
         }
     }
-    assert_eq!((mute.running(), deaf.running()), (4, 4), "they run again");
+    assert_eq!(
+        (sends_nothing.running(), receives_nothing.running()),
+        (4, 4),
+        "the tasks run again"
+    );
     assert_eq!(
         (cluster.placements_on("vm-1"), cluster.placements_on("vm-2")),
         (4, 4)
@@ -232,16 +244,16 @@
     cluster.leader.audit().unwrap();
 }
 
-/// A task that exited on a silent machine before its stop came is done, not stopped.
+/// A task that completed on a silent machine before its stop arrived is done, not stopped.
 #[test]
-fn an_answer_to_a_direct_command_counts_finished_tasks() {
+fn a_response_to_a_direct_command_counts_completed_tasks() {
     let (mut cluster, mut worker) = TestCluster::with_running_job(2);
     worker.tasks[0].exit = Some(ExitCause::Done);
     cluster
         .leader
         .take_direct_status(&worker.next_heartbeat(), 8.0);
     assert_eq!(cluster.leader.task_counts("wk-000001", 8.0), Some((1, 1)));
-    // An older status brings nothing back.
+    // A status that shows the task running again does not undo its completion.
     worker.tasks[0].exit = None;
     cluster
         .leader
--- a/crates/control/tests/size.rs
+++ b/crates/control/tests/size.rs
@@ -1,5 +1,5 @@
-//! What depends on the number of machines, at more than the operators run: 4,000 machines,
-//! 5,000 for images. Counted, not timed.
+//! Operations whose cost depends on the number of machines, with more machines than the operators
+//! run: 4,000, and 5,000 for images. The tests count operations and measure no time.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 
 const MACHINES: usize = 4_000;
-/// Bytes of a value today, and in `state.next` of the operators' change.
+/// The most bytes of a value today, and in `state.next` after the operators' change.
 const VALUE: usize = 32 * 1024;
 const SMALL_VALUE: usize = 2 * 1024;
 
@@ -21,32 +21,32 @@
     (0..n).map(|i| Worker::new(&format!("vm-{i:06}"))).collect()
 }
 
-fn wide(id: usize, tasks: u32) -> Submission {
+fn numbered_job(id: usize, tasks: u32) -> Submission {
     Submission {
         team: "wide".into(),
         ..job(&format!("wk-{id:06}"), tasks)
     }
 }
 
-/// All machines report to this holder, and are answered.
-fn all_report(leader: &mut Leader, workers: &mut [Worker], holder: &str, now: f64) {
+/// Sends a heartbeat of each worker to this shard owner and executes the commands of the response.
+fn exchange_all_heartbeats(leader: &mut Leader, workers: &mut [Worker], owner: &str, now: f64) {
     for w in workers {
         let heartbeat = w.next_heartbeat();
-        let token = leader.take_heartbeat(holder, &heartbeat, &[], now).unwrap();
+        let token = leader.take_heartbeat(owner, &heartbeat, &[], now).unwrap();
         let commands = leader.heartbeat_commands(&heartbeat, now);
         w.execute_commands(token, &commands);
     }
 }
 
-/// A leader of so many machines that have images of 28 names.
+/// A leader with this many machines, on which 28 images are cached.
 fn with_images(store: &mut Store, machines: usize) -> Leader {
     let mut leader = store.elect(1, 0.0);
-    all_report(&mut leader, &mut fleet(machines), "n1", 1.0);
+    exchange_all_heartbeats(&mut leader, &mut fleet(machines), "n1", 1.0);
     for image in 0..28 {
         let spec = Submission {
             image: format!("img-{image}"),
             image_gb: 0.1,
-            ..wide(image, machines as u32 / 7)
+            ..numbered_job(image, machines as u32 / 7)
         };
         submit(&mut leader, store, &spec, 1.5);
     }
@@ -54,7 +54,7 @@
     leader
 }
 
-/// Machines that each image is on.
+/// Returns the number of machines that each image is cached on.
 fn spread(value: &ImageCacheRecord) -> Vec<(u64, usize)> {
     let mut counts: Vec<(u64, usize)> = value
         .images
@@ -74,9 +74,9 @@
     counts
 }
 
-/// The value ended at 2,650 machines: the images of the others were fetched again after
-/// each takeover. A controller of the version before reads a value in parts as empty, so
-/// until none is left it gets what one value holds.
+/// One value holds the images of 2,650 machines; those of the others would be fetched again after
+/// each failover. A controller of the previous version reads a value in parts as empty, so while
+/// such controllers are left the leader writes what one value holds.
 #[test]
 fn images_of_5000_machines_reach_the_next_leader_once_all_controllers_read_parts() {
     let mut store = Store::default();
@@ -104,14 +104,14 @@
     store.put(keys::IMAGES, StoredRecord::ImageCache(value.clone()));
     let mut next = store.elect(2, 61.0);
     next.set_store_limits(kept);
-    all_report(&mut next, &mut fleet(5_000), "n2", 62.0);
+    exchange_all_heartbeats(&mut next, &mut fleet(5_000), "n2", 62.0);
     assert_eq!(spread(&next.image_snapshot(62.0)), spread(&value));
 }
 
-/// A third of the machines is silent as the leader changes: what may run there is started
-/// nowhere else, and the others go on; the log has no more entries than it may.
+/// A third of the machines is silent as the leader changes. Tasks that may run there start
+/// nowhere else, the other machines continue, and the ledger stays within its number of entries.
 #[test]
-fn a_takeover_of_4000_machines_keeps_every_placement() {
+fn a_failover_with_4000_machines_keeps_every_placement() {
     for (value, ops, entries) in [(VALUE, 48, 128), (SMALL_VALUE, 16, 2_048)] {
         let mut store = Store {
             limits: Some((value, ops)),
@@ -122,18 +122,18 @@
         settings.state.txn_ops = ops;
         let mut leader = store.elect_with(settings.clone(), 1, 0.0);
         let mut workers = fleet(MACHINES);
-        all_report(&mut leader, &mut workers, "n1", 1.0);
-        // Sixteen small tasks a machine, as on the operators' largest type.
+        exchange_all_heartbeats(&mut leader, &mut workers, "n1", 1.0);
+        // Sixteen small tasks per machine, as on the operators' largest machine type.
         for id in 0..160 {
             let spec = Submission {
                 cpus: 0.5,
-                ..wide(id, 400)
+                ..numbered_job(id, 400)
             };
             submit(&mut leader, &mut store, &spec, 2.0);
         }
         leader.place_pending(2.0);
         write_all(&mut leader, &mut store);
-        all_report(&mut leader, &mut workers, "n1", 2.5);
+        exchange_all_heartbeats(&mut leader, &mut workers, "n1", 2.5);
         let running: usize = workers.iter().map(Worker::running).sum();
         assert_eq!(running, 64_000);
         let logged = store.records.keys().filter(|k| k.starts_with(keys::LEDGER));
@@ -142,32 +142,32 @@
         let before = leader.placements_held();
         let mut leader = store.elect_with(settings, 2, 5.0);
         assert_eq!(leader.placements_held(), before);
-        submit(&mut leader, &mut store, &wide(200, 10), 5.0);
+        submit(&mut leader, &mut store, &numbered_job(200, 10), 5.0);
         let silent = MACHINES / 3;
-        all_report(&mut leader, &mut workers[silent..], "n2", 6.0);
+        exchange_all_heartbeats(&mut leader, &mut workers[silent..], "n2", 6.0);
         leader.place_pending(6.0);
         write_all(&mut leader, &mut store);
         assert!(
             leader.placements_held().is_superset(&before),
-            "nothing is given up"
+            "no placement is given up"
         );
         assert_eq!(leader.audit(), Ok(()));
     }
 }
 
-/// The whole block of one controller, as the leader's answer to a hello names it.
+/// The response to a hello extends the shard leases of all machines of a shard owner.
 #[test]
-fn a_block_of_4000_machines_is_granted_at_once() {
+fn the_leases_of_a_shard_of_4000_machines_are_extended_at_once() {
     let mut store = Store::default();
     let mut leader = store.elect(1, 0.0);
     let mut workers = fleet(MACHINES);
-    all_report(&mut leader, &mut workers, "n2", 1.0);
-    all_report(&mut leader, &mut workers, "n2", 2.0);
-    let block = leader.extend_shard("n2", 2.5);
-    assert_eq!(block.len(), MACHINES);
+    exchange_all_heartbeats(&mut leader, &mut workers, "n2", 1.0);
+    exchange_all_heartbeats(&mut leader, &mut workers, "n2", 2.0);
+    let extended = leader.extend_shard("n2", 2.5);
+    assert_eq!(extended.len(), MACHINES);
 }
 
-/// Machines that the cloud has.
+/// The machines of a scripted cloud.
 #[derive(Default)]
 struct Cloud {
     rented: usize,
@@ -175,8 +175,8 @@
 }
 
 impl Cloud {
-    /// Answers what one look at the fleet asks for; returns how many machines came or went.
-    fn answer(&mut self, leader: &mut Leader, now: f64) -> usize {
+    /// Executes the calls of one autoscaler run; returns how many machines were rented or deleted.
+    fn execute_calls(&mut self, leader: &mut Leader, now: f64) -> usize {
         let mut changed = 0;
         for call in leader.autoscale(now) {
             match call {
@@ -204,7 +204,7 @@
     }
 }
 
-/// At 100 machines a second the last of 4,000 went 40 s after the first.
+/// With 100 machines deleted per second, the last of 4,000 would go 40 s after the first.
 #[test]
 fn four_thousand_machines_are_rented_and_returned_in_bulk() {
     let mut store = Store::default();
@@ -212,35 +212,35 @@
     let mut cloud = Cloud::default();
     let long = Submission {
         estimate_s: 100.0,
-        ..wide(1, 4 * MACHINES as u32)
+        ..numbered_job(1, 4 * MACHINES as u32)
     };
     submit(&mut leader, &mut store, &long, 0.0);
-    let mut looks = 0;
+    let mut runs = 0;
     while cloud.machines.len() < MACHINES {
-        looks += 1;
-        assert!(looks <= 60, "{} rented", cloud.machines.len());
-        cloud.answer(&mut leader, f64::from(looks));
+        runs += 1;
+        assert!(runs <= 60, "{} rented", cloud.machines.len());
+        cloud.execute_calls(&mut leader, f64::from(runs));
     }
-    // The job is cancelled before anything runs: nothing is wanted any more.
+    // The job is cancelled before any task runs, so no machine is needed any more.
     let mut workers = fleet(MACHINES);
-    all_report(&mut leader, &mut workers, "n1", 61.0);
+    exchange_all_heartbeats(&mut leader, &mut workers, "n1", 61.0);
     store.cancel("wk-000001");
     leader.remove_job("wk-000001");
     let (mut now, mut busy) = (61.0, 0);
     while !cloud.machines.is_empty() {
         now += 1.0;
         assert!(now < 200.0, "{} are left", cloud.machines.len());
-        let there = |worker: &Worker| cloud.machines.contains(&worker.name);
-        workers.retain(there);
-        all_report(&mut leader, &mut workers, "n1", now);
-        busy += usize::from(cloud.answer(&mut leader, now) > 0);
+        let exists = |worker: &Worker| cloud.machines.contains(&worker.name);
+        workers.retain(exists);
+        exchange_all_heartbeats(&mut leader, &mut workers, "n1", now);
+        busy += usize::from(cloud.execute_calls(&mut leader, now) > 0);
     }
     assert!(busy <= 12, "{busy} looks in which machines were returned");
 }
 
-/// A list of the cloud is taken in whole, and what it lacks is given up.
+/// The leader takes over the whole list of the cloud.
 #[test]
-fn a_list_of_4000_machines_is_taken_in() {
+fn a_list_of_4000_machines_is_applied_whole() {
     let mut store = Store::default();
     let mut leader = store.elect(1, 0.0);
     let listed = |i: usize| ListedMachine {
--- a/crates/control/tests/stale_heartbeats.rs
+++ b/crates/control/tests/stale_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that arrive late or twice: as the first one a new leader hears, at every
+//! Heartbeats that arrive late or twice: as the first one that a new leader takes, at every
 //! controller at once, after newer ones, or from before a worker restart.
 
 mod common;
@@ -8,44 +8,45 @@
 use cherrywood_wire::agent::{Command, Heartbeat};
 use common::*;
 
-/// A machine that runs four tasks, and a heartbeat of it from before it had any.
-fn running(incarnation: u64) -> (TestCluster, Worker, Heartbeat) {
+/// A cluster with a machine that runs four tasks, and a heartbeat of the machine from before it
+/// had any.
+fn machine_with_four_tasks(incarnation: u64) -> (TestCluster, Worker, Heartbeat) {
     let mut cluster = TestCluster::new();
     let mut worker = Worker::new("vm-1");
     worker.incarnation = incarnation;
     cluster.heartbeat(&mut worker, "n1", 1.0);
-    let old = worker.next_heartbeat();
+    let stale = worker.next_heartbeat();
     cluster.submit(&job("wk-000001", 4), 2.0);
     cluster.heartbeat(&mut worker, "n1", 2.0);
     assert_eq!(worker.running(), 4);
-    (cluster, worker, old)
+    (cluster, worker, stale)
 }
 
-/// It arrives at every controller at once. Absence in it proves nothing, only one
-/// controller is leased the machine, and the tasks that it doesn't list aren't started
-/// elsewhere.
+/// The stale heartbeat arrives at every controller at once. The absence of tasks in it proves
+/// nothing: only one controller gets the shard lease, and the tasks that it does not list are not
+/// started elsewhere.
 #[test]
 fn a_stale_heartbeat_as_the_first_one_a_new_leader_hears_frees_nothing() {
     for earlier in [false, true] {
-        let (mut cluster, mut worker, old) = running(2);
-        let old = Heartbeat {
+        let (mut cluster, mut worker, stale) = machine_with_four_tasks(2);
+        let stale = Heartbeat {
             incarnation: if earlier { 1 } else { 2 },
-            ..old
+            ..stale
         };
         cluster.fail_over(2, 5.0);
-        let granted =
-            ["n1", "n2", "n3"].map(|n| cluster.leader.take_heartbeat(n, &old, &[], 5.1).is_some());
+        let granted = ["n1", "n2", "n3"]
+            .map(|n| cluster.leader.take_heartbeat(n, &stale, &[], 5.1).is_some());
         let n = granted.iter().filter(|g| **g).count();
         assert_eq!(
             n,
             usize::from(!earlier),
-            "one of an earlier session is told apart"
+            "a heartbeat of an earlier incarnation is recognised"
         );
         let starts = |c: &Command| matches!(c, Command::Start { .. });
         assert!(
             !cluster
                 .leader
-                .heartbeat_commands(&old, 5.1)
+                .heartbeat_commands(&stale, 5.1)
                 .iter()
                 .any(starts)
         );
@@ -62,20 +63,20 @@
             cluster.heartbeat(&mut worker, "n3", now);
         }
         assert_eq!((cluster.placements_on("vm-1"), worker.running()), (4, 4));
-        // The copy once more, and more of them: newer ones came before.
+        // More copies arrive after newer heartbeats.
         for n in ["n1", "n2", "n3"] {
-            assert!(cluster.leader.take_heartbeat(n, &old, &[], 8.0).is_none());
+            assert!(cluster.leader.take_heartbeat(n, &stale, &[], 8.0).is_none());
         }
         assert_eq!(cluster.placements_on("vm-1"), 4);
         cluster.leader.audit().unwrap();
     }
 }
 
-/// The new leader has stopped, placed and freed by then: the heartbeat frees nothing,
-/// brings nothing back, and its machine is leased to no one for it.
+/// By then the new leader has stopped, placed and freed tasks. The heartbeat frees no placement,
+/// restores none, and gets no shard lease for its machine.
 #[test]
 fn a_heartbeat_delayed_until_a_new_leader_has_acted_changes_nothing() {
-    let (mut cluster, mut worker, _) = running(1);
+    let (mut cluster, mut worker, _) = machine_with_four_tasks(1);
     let held_back = worker.next_heartbeat();
     cluster.store.cancel("wk-000001");
     cluster.fail_over(2, 5.0);
@@ -88,11 +89,11 @@
         cluster.heartbeat(&mut worker, "n2", now);
     }
     assert_eq!((worker.running(), cluster.placements_on("vm-1")), (4, 4));
-    let (held, block) = (
+    let (held, extended) = (
         cluster.leader.placements_held(),
         cluster.leader.extend_shard("n2", 9.6),
     );
-    assert_eq!(block.len(), 1);
+    assert_eq!(extended.len(), 1);
     assert!(
         cluster
             .leader
@@ -106,13 +107,13 @@
             .is_empty()
     );
     assert_eq!(cluster.leader.placements_held(), held);
-    assert_eq!(cluster.leader.extend_shard("n2", 9.8), block);
+    assert_eq!(cluster.leader.extend_shard("n2", 9.8), extended);
     assert!(cluster.leader.extend_shard("n1", 9.8).is_empty());
     cluster.leader.audit().unwrap();
 }
 
-/// A heartbeat of an earlier attempt arrives after newer ones: what exited in that
-/// attempt runs on in this one.
+/// A heartbeat that shows the exit of an earlier attempt arrives after newer ones. The task runs
+/// on in its present attempt.
 #[test]
 fn exits_of_an_earlier_attempt_do_not_end_a_later_one() {
     let mut cluster = TestCluster::new();
@@ -125,32 +126,35 @@
     for now in [3.0, 4.0, 30.0, 31.0, 32.0] {
         cluster.heartbeat(&mut worker, "n1", now);
     }
-    assert_eq!(worker.running(), 1, "a later attempt");
+    assert_eq!(worker.running(), 1, "the task runs in a later attempt");
     for leader in [&mut cluster.leader, &mut cluster.store.elect(2, 40.0)] {
         leader.take_heartbeat("n3", &copy, &[], 41.0);
         assert_eq!(placements_on(leader, "vm-1"), 1);
-        // The same status in a late answer to a direct command.
+        // The same status arrives in a late response to a direct command.
         leader.take_direct_status(&copy, 41.0);
         assert_eq!(placements_on(leader, "vm-1"), 1);
     }
 }
 
-/// The leader doesn't answer a duplicate, and the owner's lease, which the duplicate
-/// doesn't extend, has its time and no more.
+/// The leader does not respond to a duplicate, and the shard lease, which the duplicate does not
+/// extend, expires at its time.
 #[test]
 fn a_duplicate_heartbeat_does_not_extend_a_shard_lease() {
-    let (mut cluster, _, old) = running(1);
+    let (mut cluster, _, stale) = machine_with_four_tasks(1);
     cluster.fail_over(2, 5.0);
     let mut owner = ShardOwner::default();
     let grant_s = cluster.leader.timing.shard_lease_s;
-    let token = cluster.leader.take_heartbeat("n1", &old, &[], 5.0).unwrap();
+    let token = cluster
+        .leader
+        .take_heartbeat("n1", &stale, &[], 5.0)
+        .unwrap();
     owner.lease_granted("vm-1", token, 5.0, grant_s);
     for n in 0..60 {
         let now = 5.5 + f64::from(n) / 2.0;
         assert!(
             cluster
                 .leader
-                .take_heartbeat("n1", &old, &[], now)
+                .take_heartbeat("n1", &stale, &[], now)
                 .is_none()
         );
         for (machine, token) in cluster.leader.extend_shard("n1", now) {
@@ -165,13 +169,13 @@
     );
 }
 
-// --- workers that restarted, so that their incarnations begin anew ---
+// --- restarted workers, whose incarnations start from 1 again ---
 
-/// Its heartbeats look older than those from before the restart, and for the leader it
-/// was silent until it was deleted.
+/// The heartbeats of a restarted worker look older than those from before the restart. Without a
+/// status query the leader would take the machine for silent until it deletes it.
 #[test]
-fn a_restarted_worker_is_taken_back_after_a_status_query() {
-    let (mut cluster, mut former, _) = running(5);
+fn a_restarted_worker_is_accepted_again_after_a_status_query() {
+    let (mut cluster, mut former, _) = machine_with_four_tasks(5);
     cluster.fail_over(2, 5.0);
     cluster.heartbeat(&mut former, "n1", 6.0);
     cluster.heartbeat(&mut former, "n1", 7.0);
@@ -197,12 +201,12 @@
             .extend_shard("n1", 16.0)
             .iter()
             .any(|m| m.0 == "vm-1"),
-        "it is heard"
+        "the machine is heard"
     );
     assert_eq!(
         (cluster.placements_on("vm-1"), worker.running()),
         (4, 4),
-        "what it lost runs again"
+        "its lost tasks run again"
     );
     // A heartbeat from before the restart arrives, before and after a failover.
     let held = cluster.leader.placements_held();
@@ -227,18 +231,18 @@
     assert_eq!(
         (placements_on(&next, "vm-1"), worker.running()),
         (4, 4),
-        "taken back here too"
+        "the next leader accepts the machine again too"
     );
     assert!(next.extend_shard("n1", 30.0).iter().any(|m| m.0 == "vm-1"));
     next.audit().unwrap();
 }
 
-/// Between the status query and a heartbeat that shows a token issued after the restart
-/// nothing counts as proof: neither heartbeats from before the restart, whatever their
+/// Between the status query and a heartbeat that shows a token issued after the restart nothing
+/// proves that tasks are gone: neither heartbeats from before the restart, whatever their
 /// numbers, nor the absence of tasks since.
 #[test]
-fn after_a_worker_restart_nothing_is_proof_before_its_first_token_was_seen() {
-    let (mut cluster, mut former, _) = running(5);
+fn after_a_worker_restart_no_placement_is_freed_before_a_heartbeat_shows_a_new_token() {
+    let (mut cluster, mut former, _) = machine_with_four_tasks(5);
     cluster.fail_over(2, 5.0);
     for now in [6.0, 7.0] {
         cluster.heartbeat(&mut former, "n1", now);
@@ -260,7 +264,7 @@
     assert_eq!(
         cluster.placements_on("vm-1"),
         4,
-        "the answer alone frees nothing"
+        "the response alone frees no placement"
     );
     assert!(
         cluster
@@ -269,20 +273,20 @@
             .is_none()
     );
     assert_eq!(cluster.placements_on("vm-1"), 4);
-    let same_session = Heartbeat {
+    let same_incarnation = Heartbeat {
         incarnation: 1,
         sequence: 9000,
         ..copy
     };
     cluster
         .leader
-        .take_heartbeat("n2", &same_session, &[], 12.4);
+        .take_heartbeat("n2", &same_incarnation, &[], 12.4);
     assert_eq!(cluster.placements_on("vm-1"), 4);
-    // The high number of that copy hides the worker's heartbeats: it is queried again.
+    // The high number of that copy makes the worker's heartbeats look old, so it is queried again.
     let mut now = 12.5;
     while cluster.placements_on("vm-1") == 4 && worker.running() == 0 {
         now += 1.0;
-        assert!(now < 20.0, "not taken back");
+        assert!(now < 20.0, "the machine is not accepted again");
         cluster.heartbeat(&mut worker, "n1", now);
         for StatusQuery { machine, .. } in cluster.leader.due_status_queries(now) {
             cluster.leader.status_query_done(
@@ -299,11 +303,11 @@
     cluster.leader.audit().unwrap();
 }
 
-/// Its answer is the newest status there is. It undoes nothing, nor does one that comes
-/// after a newer heartbeat, or without a query.
+/// The response is the newest status of the worker and undoes nothing. Neither does a response
+/// that arrives after a newer heartbeat or without a query.
 #[test]
 fn a_status_query_to_a_worker_that_did_not_restart_changes_nothing() {
-    let (mut cluster, mut worker, _) = running(1);
+    let (mut cluster, mut worker, _) = machine_with_four_tasks(1);
     cluster.fail_over(2, 5.0);
     for now in [6.0, 7.0] {
         cluster.heartbeat(&mut worker, "n1", now);
@@ -324,11 +328,11 @@
     assert_eq!(cluster.leader.due_status_queries(12.1).len(), 1);
     assert!(
         cluster.leader.due_status_queries(12.2).is_empty(),
-        "one at a time"
+        "at most one query at a time"
     );
     let before = cluster.leader.placements_held();
     let stale = worker.next_heartbeat();
-    // A heartbeat comes before the answer; then answers without a query.
+    // A heartbeat arrives before the response; then responses arrive without a query.
     let token = cluster
         .leader
         .take_heartbeat("n1", &worker.next_heartbeat(), &[], 12.3);
@@ -348,9 +352,9 @@
             .leader
             .take_heartbeat("n1", &worker.next_heartbeat(), &[], 13.0)
             .is_some(),
-        "it counts on"
+        "its heartbeats are still taken"
     );
-    // Another machine has the address now.
+    // Another machine has the address by now.
     cluster.leader.take_heartbeat("n1", &late, &[], 20.0);
     assert_eq!(cluster.leader.due_status_queries(20.1).len(), 1);
     cluster.leader.status_query_done(
--- a/crates/control/tests/starvation.rs
+++ b/crates/control/tests/starvation.rs
@@ -1,4 +1,5 @@
-//! Starvation: how long a job of a team at its quota is passed over beside machines with room.
+//! Starvation: how long a job of a team at its quota goes without a task while machines have
+//! room.
 
 mod common;
 
@@ -9,25 +10,26 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// s that a job may wait without a task while its team has room for one (operators).
-const PATIENCE_S: f64 = 90.0;
-/// s that each task runs.
+/// The operators' bound on the time (s) that a job may wait without a task while its team has
+/// room for one.
+const WAIT_MAX_S: f64 = 90.0;
+/// Run time of each task, s.
 const RUN_S: f64 = 10.0;
-/// The same for tasks of jobs called long.
+/// Run time of the tasks of long jobs, s.
 const LONG_RUN_S: f64 = 300.0;
-/// CPUs that team `t` may use (`common::settings`), and those of a machine.
-const LIMIT: f64 = 16.0;
+/// CPUs that team `t` may use (`common::settings`).
+const QUOTA_CPUS: f64 = 16.0;
 const MACHINES: usize = 8;
 
-/// When each job last had a task on a machine, and the longest it went without one.
+/// When each job last had a task on a machine, and its longest time (s) without one.
 #[derive(Default)]
-struct Waits {
+struct WaitingTimes {
     served_at: BTreeMap<String, f64>,
     longest: BTreeMap<String, f64>,
 }
 
-impl Waits {
-    fn note(&mut self, leader: &Leader, waiting: &[String], now: f64) {
+impl WaitingTimes {
+    fn record(&mut self, leader: &Leader, waiting: &[String], now: f64) {
         let held = leader.placements_held();
         for id in waiting {
             let own = format!("{id}/");
@@ -41,19 +43,19 @@
     }
 }
 
-/// Eight machines for a team that may use two of them.
+/// Eight machines and a team whose quota is the CPUs of two of them.
 struct QuotaLimitedTeam {
     store: Store,
     leader: Leader,
     workers: Vec<Worker>,
-    /// Ends of the tasks that run, by worker and attempt.
+    /// End times of the started tasks, by worker, task and attempt.
     ends: BTreeMap<(usize, String, u64), f64>,
     submitted: u32,
-    /// Jobs whose waits are measured.
-    watched: Vec<String>,
-    waits: Waits,
-    /// Jobs whose tasks run long.
-    long: Vec<String>,
+    /// Jobs whose waiting times are measured.
+    measured: Vec<String>,
+    waiting_times: WaitingTimes,
+    /// Jobs whose tasks run for `LONG_RUN_S`.
+    long_jobs: Vec<String>,
 }
 
 impl QuotaLimitedTeam {
@@ -75,9 +77,9 @@
                 .collect(),
             ends: BTreeMap::new(),
             submitted: 0,
-            watched: Vec::new(),
-            waits: Waits::default(),
-            long: Vec::new(),
+            measured: Vec::new(),
+            waiting_times: WaitingTimes::default(),
+            long_jobs: Vec::new(),
         }
     }
 
@@ -91,25 +93,29 @@
         };
         let mut value = self.store.accept(&spec);
         value.accepted_at_ms = (now * 1000.0) as u64;
-        let mark = self.store.put(
+        let revision = self.store.put(
             &keys::job(&spec.id),
             StoredRecord::Job(Box::new(value.clone())),
         );
-        self.leader.add_job(value, mark, now);
+        self.leader.add_job(value, revision, now);
         spec.id
     }
 
-    fn watch(&mut self, priority: Priority, tasks: u32, cpus: f64, now: f64) {
+    fn submit_measured(&mut self, priority: Priority, tasks: u32, cpus: f64, now: f64) {
         let id = self.submit(priority, tasks, cpus, now);
-        self.watched.push(id);
+        self.measured.push(id);
     }
 
-    /// Tasks that have run long enough end, every worker reports, waits are noted.
-    fn second(&mut self, now: f64) {
+    /// Advances to `now`: completes tasks, sends a heartbeat of every worker, records waiting
+    /// times.
+    fn step(&mut self, now: f64) {
         for (at, worker) in self.workers.iter_mut().enumerate() {
             for t in &mut worker.tasks {
-                let long = self.long.iter().any(|id| t.task.starts_with(id.as_str()));
-                let run_s = if long { LONG_RUN_S } else { RUN_S };
+                let long_jobs = self
+                    .long_jobs
+                    .iter()
+                    .any(|id| t.task.starts_with(id.as_str()));
+                let run_s = if long_jobs { LONG_RUN_S } else { RUN_S };
                 let end = self.ends.entry((at, t.task.clone(), t.attempt));
                 if t.is_running() && now >= *end.or_insert(now + run_s) {
                     t.exit = Some(ExitCause::Done);
@@ -118,116 +124,121 @@
             exchange_heartbeat(&mut self.leader, &mut self.store, worker, "n1", now);
         }
         let store = &self.store;
-        self.watched.retain(|id| store.final_state(id).is_none());
-        self.waits.note(&self.leader, &self.watched, now);
+        self.measured.retain(|id| store.final_state(id).is_none());
+        self.waiting_times.record(&self.leader, &self.measured, now);
     }
 
-    /// CPUs that the team uses by the workers' word.
+    /// CPUs that the team uses according to the workers, if each task uses `cpus`.
     fn used(&self, cpus: f64) -> f64 {
         self.workers.iter().map(Worker::running).sum::<usize>() as f64 * cpus
     }
 
     fn longest_wait(&self) -> f64 {
-        self.waits.longest.values().copied().fold(0.0, f64::max)
+        self.waiting_times
+            .longest
+            .values()
+            .copied()
+            .fold(0.0, f64::max)
     }
 }
 
-/// Urgent work of the same team takes all that comes free. Each job was begun after two
-/// minutes, and had nothing more on a machine for as long as that went on.
+/// High-priority jobs of the same team take all CPUs that become free. Without a remedy each
+/// other job was given one task after two minutes and no further one while that lasted.
 #[test]
 fn no_job_of_a_team_at_its_quota_starves() {
-    let mut f = QuotaLimitedTeam::new();
+    let mut team = QuotaLimitedTeam::new();
     let mut least_used = f64::INFINITY;
-    for s in 0..400 {
-        let now = f64::from(s);
-        if s % 8 == 0 {
-            f.submit(Priority::High, 8, 2.0, now);
+    for second in 0..400 {
+        let now = f64::from(second);
+        if second % 8 == 0 {
+            team.submit(Priority::High, 8, 2.0, now);
         }
-        if s % 50 == 20 {
-            f.watch(Priority::Normal, 40, 2.0, now);
+        if second % 50 == 20 {
+            team.submit_measured(Priority::Normal, 40, 2.0, now);
         }
-        f.second(now);
-        if s > 60 {
-            least_used = least_used.min(f.used(2.0));
+        team.step(now);
+        if second > 60 {
+            least_used = least_used.min(team.used(2.0));
         }
     }
     assert!(
-        f.longest_wait() < PATIENCE_S,
+        team.longest_wait() < WAIT_MAX_S,
         "without a task for so many s: {:?}",
-        f.waits.longest
+        team.waiting_times.longest
     );
-    // Nothing of the limit is kept idle for that.
-    assert!(least_used >= LIMIT - 2.0, "{least_used} CPUs used");
+    // No part of the quota is kept idle for that.
+    assert!(least_used >= QUOTA_CPUS - 2.0, "{least_used} CPUs used");
 }
 
-/// A job whose one task runs for minutes waited with all others until it ended. Minimum
-/// shares are left out: they serve a class, not each job of it.
+/// A job with one task that runs for minutes must not wait with its other tasks until that one
+/// ends. Minimum shares are off: they serve a class and not each job of it.
 #[test]
 fn a_job_with_one_long_task_placed_gets_others_placed() {
     let mut settings = settings();
     settings.policy.admission.floors = false;
-    let mut f = QuotaLimitedTeam::with(settings);
+    let mut team = QuotaLimitedTeam::with(settings);
     let mut id = String::new();
-    for s in 0..260 {
-        let now = f64::from(s);
-        if s % 8 == 0 {
-            f.submit(Priority::High, 8, 2.0, now);
+    for second in 0..260 {
+        let now = f64::from(second);
+        if second % 8 == 0 {
+            team.submit(Priority::High, 8, 2.0, now);
         }
-        if s == 20 {
-            id = f.submit(Priority::Normal, 40, 2.0, now);
-            f.long.push(id.clone());
+        if second == 20 {
+            id = team.submit(Priority::Normal, 40, 2.0, now);
+            team.long_jobs.push(id.clone());
         }
-        f.second(now);
+        team.step(now);
     }
     let own = format!("{id}/");
-    let held = f.leader.placements_held();
+    let held = team.leader.placements_held();
     let tasks = held.iter().filter(|h| h.1.starts_with(&own)).count();
-    // One after 45 s, and another each 75 s, or the s until a task of others ends.
+    // One task after 45 s and another every 75 s, each plus the time until a task of another
+    // job ends.
     assert!(tasks >= 3, "{tasks} tasks in 240 s");
 }
 
-/// What comes free is always too little for a larger task while smaller ones wait: its
-/// team's room is kept for it, until it fits.
+/// The CPUs that smaller tasks free are always too few for a larger task while smaller ones wait.
+/// The team's room is reserved for the larger task until it fits.
 #[test]
 fn quota_is_reserved_for_a_task_larger_than_what_smaller_ones_free() {
-    let mut f = QuotaLimitedTeam::new();
-    for s in 0..300 {
-        let now = f64::from(s);
-        // Two a second that end at different times.
-        f.submit(Priority::Normal, 1, 2.0, now);
-        if s == 40 {
-            f.watch(Priority::Normal, 3, 8.0, now);
+    let mut team = QuotaLimitedTeam::new();
+    for second in 0..300 {
+        let now = f64::from(second);
+        // One job a second, whose tasks end at different times.
+        team.submit(Priority::Normal, 1, 2.0, now);
+        if second == 40 {
+            team.submit_measured(Priority::Normal, 3, 8.0, now);
         }
-        f.second(now);
+        team.step(now);
     }
     assert!(
-        f.longest_wait() < PATIENCE_S,
+        team.longest_wait() < WAIT_MAX_S,
         "without a task for so many s: {:?}",
-        f.waits.longest
+        team.waiting_times.longest
     );
 }
 
-/// The same jobs under a new leader: it doesn't know whom the last one passed by.
+/// A new leader does not know which jobs the previous one passed over.
 #[test]
-fn failovers_let_no_job_starve_for_longer() {
-    let mut f = QuotaLimitedTeam::new();
-    for s in 0..300 {
-        let now = f64::from(s);
-        if s == 80 || s == 150 {
-            let epoch = f.leader.term() + 1;
-            f.leader = f.store.elect(epoch, now);
+fn no_job_of_a_team_at_its_quota_starves_across_failovers() {
+    let mut team = QuotaLimitedTeam::new();
+    for second in 0..300 {
+        let now = f64::from(second);
+        if second == 80 || second == 150 {
+            let term = team.leader.term() + 1;
+            team.leader = team.store.elect(term, now);
         }
-        if s % 8 == 0 {
-            f.submit(Priority::High, 8, 2.0, now);
+        if second % 8 == 0 {
+            team.submit(Priority::High, 8, 2.0, now);
         }
-        if s == 20 {
-            f.watch(Priority::Normal, 40, 2.0, now);
+        if second == 20 {
+            team.submit_measured(Priority::Normal, 40, 2.0, now);
         }
-        f.second(now);
+        team.step(now);
     }
     assert!(
-        f.longest_wait() < PATIENCE_S,
+        team.longest_wait() < WAIT_MAX_S,
         "without a task for so many s: {:?}",
-        f.waits.longest
+        team.waiting_times.longest
     );
 }
--- a/crates/control/tests/team_quotas.rs
+++ b/crates/control/tests/team_quotas.rs
@@ -1,6 +1,6 @@
-//! Teams at their limits, in CPUs and in accelerators, while jobs are cancelled whose
-//! machines are out of reach and the leader changes: what may still run counts until it is
-//! proven gone, and nothing counts for longer.
+//! Teams at their quotas, in CPUs and in GPUs, while jobs on unreachable machines are cancelled
+//! and the leader changes. Tasks that may still run count until they are proven gone, and no
+//! longer.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use cherrywood_wire::user::{Priority, Submission};
 use common::*;
 
-/// s within which every limit must be free again once troubles are over.
+/// Time (s) within which every quota must be free again once faults are over.
 const FREE_WITHIN_S: f64 = 90.0;
 
 fn quota_settings() -> Settings {
@@ -37,24 +37,24 @@
     types.map(|t| MachineType { gpus: 4.0, ..t }).collect()
 }
 
-/// The leader of term 1 is elected at 0 s.
+/// A cluster with these settings and machine types whose leader of term 1 is elected at 0 s.
 fn new_cluster() -> TestCluster {
     let mut store = Store::default();
-    let leader = elect(&mut store, 1, 0.0);
+    let leader = elect_with_gpus(&mut store, 1, 0.0);
     TestCluster { store, leader }
 }
 
-fn elect(store: &mut Store, term: u64, now: f64) -> Leader {
+fn elect_with_gpus(store: &mut Store, term: u64, now: f64) -> Leader {
     let mut leader = store.elect_with(quota_settings(), term, now);
     leader.set_machine_types(machine_types_with_gpus());
     leader
 }
 
 fn fail_over(cluster: &mut TestCluster, term: u64, now: f64) {
-    cluster.leader = elect(&mut cluster.store, term, now);
+    cluster.leader = elect_with_gpus(&mut cluster.store, term, now);
 }
 
-/// Two tasks that take all that the team may use.
+/// A job of two tasks that fill the team's quota.
 fn quota_filling_job(id: &str, team: &str) -> Submission {
     Submission {
         team: team.into(),
@@ -64,22 +64,22 @@
     }
 }
 
-/// A heartbeat that arrives, and a response that doesn't.
+/// Sends a heartbeat whose response is lost.
 fn heartbeat_without_response(cluster: &mut TestCluster, worker: &mut Worker, now: f64) {
-    let report = worker.next_heartbeat();
+    let heartbeat = worker.next_heartbeat();
     if cluster
         .leader
-        .take_heartbeat("n", &report, &[], now)
+        .take_heartbeat("n", &heartbeat, &[], now)
         .is_some()
     {
         cluster.leader.place_pending(now);
         cluster.write_all_at(now);
-        cluster.leader.heartbeat_commands(&report, now);
+        cluster.leader.heartbeat_commands(&heartbeat, now);
     }
 }
 
-/// The team's first job runs on `lost`, is cancelled while that machine is out of reach, and
-/// two leaders follow. Returns when the second of them began.
+/// Runs the team's first job on `lost`, cancels it while that machine is unreachable, and elects
+/// two further leaders. Returns the time of the second election.
 fn cancelled_out_of_reach(cluster: &mut TestCluster, lost: &mut Worker, team: &str) -> f64 {
     cluster.submit(&quota_filling_job("wk-000001", team), 0.0);
     cluster.heartbeat(lost, "n", 1.0);
@@ -103,7 +103,7 @@
         let mut now = since;
         while worker.running() == 0 {
             now += 0.5;
-            // The cloud doesn't answer, so time alone can prove it.
+            // The cloud does not respond, so only lease expiry can prove that the task is gone.
             cluster.leader.autoscale(now);
             cluster.heartbeat(&mut worker, "n", now);
             cluster.leader.audit().unwrap();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_cancelled_task_on_a_silent_machine_counts_until_its_deletion_is_answered() {
+fn a_cancelled_task_on_a_silent_machine_counts_until_its_deletion_is_confirmed() {
     for team in ["by_cpus", "by_gpus"] {
         let (mut cluster, mut lost) = (new_cluster(), Worker::new("vm-1"));
         let mut now = cancelled_out_of_reach(&mut cluster, &mut lost, team);
@@ -143,7 +143,8 @@
     }
 }
 
-/// The cloud deletes the unreachable machine if asked to, and is asked for no other: work waits.
+/// Deletes the unreachable machine if the leader asks for it; asserts that it asks for no other
+/// deletion, as work is waiting.
 fn delete_unreachable(leader: &mut Leader, now: f64) {
     for call in leader.autoscale(now) {
         if let CloudCall::Delete(names) = call {
@@ -153,7 +154,7 @@
     }
 }
 
-/// Its reports arrive, so it is heard; what it is answered doesn't, so it goes on.
+/// The machine's heartbeats arrive, so it is heard; the responses do not, so its task runs on.
 #[test]
 fn a_cancelled_task_on_a_machine_without_responses_counts_until_its_lease_is_over() {
     for team in ["by_cpus", "by_gpus"] {
@@ -161,7 +162,7 @@
         let since = cancelled_out_of_reach(&mut cluster, &mut unreachable, team);
         let lease_s = cluster.leader.timing.worker_lease_s;
         let mut worker = Worker::new("vm-2");
-        // Work that the limit doesn't bind keeps the other machine there.
+        // A job outside the quota keeps the other machine from being returned.
         let other = Submission {
             team: "other".into(),
             ..job("wk-000003", 3)
@@ -170,7 +171,7 @@
         cluster.heartbeat(&mut worker, "n", since);
         let others = worker.running();
         let mut now = since;
-        // Its last answered report was sent at 1 s.
+        // The last heartbeat with a response was sent at 1 s.
         while now < 1.0 + lease_s {
             now += 0.5;
             delete_unreachable(&mut cluster.leader, now);
@@ -192,8 +193,8 @@
     }
 }
 
-/// The machine hung when its task was cancelled, and goes on within its lease when the
-/// second of two later leaders is there: it is stopped, and counts until that is reported.
+/// The machine hangs when its task is cancelled, and continues within its lease under the second
+/// of two later leaders. The task is stopped, and counts until a heartbeat shows that.
 #[test]
 fn a_cancelled_task_on_a_machine_that_hung_counts_until_its_stop_is_reported() {
     for team in ["by_cpus", "by_gpus"] {
@@ -202,7 +203,7 @@
         let mut worker = Worker::new("vm-2");
         cluster.heartbeat(&mut worker, "n", since + 0.5);
         assert_eq!(worker.running(), 0, "{team}");
-        // The answer that stops it.
+        // This response stops the task.
         cluster.heartbeat(&mut hung, "n", since + 2.0);
         assert_eq!(hung.running(), 0, "{team}");
         cluster.heartbeat(&mut worker, "n", since + 2.5);
@@ -214,8 +215,9 @@
     }
 }
 
-/// Its entry is among the oldest, so its rest is carried into newer ones, again and again:
-/// team and size go with it although its job's record is long gone.
+/// The ledger entry of a task that runs on is among the oldest, so its remaining placements are
+/// written again into newer entries, repeatedly. Team and size are written with them although the
+/// job's record is long gone.
 #[test]
 fn team_and_size_of_a_cancelled_job_are_carried_into_newer_ledger_entries() {
     for team in ["by_cpus", "by_gpus"] {
@@ -230,7 +232,7 @@
             .find(|k| k.starts_with(keys::LEDGER))
             .cloned();
         cluster.cancel("wk-000001");
-        // One task runs on, so that no entry goes for being empty.
+        // One task runs on, so that no entry is dropped as empty.
         let mut busy = Worker::new("vm-2");
         for n in 0..400 {
             let now = 1.0 + f64::from(n) * 0.01;
@@ -258,7 +260,7 @@
     }
 }
 
-/// A record that was read as missing and is there again, with a task on a silent machine
+/// A job record is read as missing and then is there again, while one task is on a silent machine
 /// and the other on one that is heard.
 #[test]
 fn a_job_record_that_reappears_after_a_failover_counts_once() {
@@ -290,7 +292,7 @@
         let mut worker = Worker::new("vm-2");
         cluster.heartbeat(&mut worker, "n", 5.0);
         assert_eq!(worker.running(), 0, "{team}");
-        // Heard again, it goes on with both, and nothing is started beside them.
+        // When the machine is heard again both tasks run on, and none is started a second time.
         cluster.heartbeat(&mut lost, "n", 6.0);
         cluster.heartbeat(&mut lost, "n", 7.0);
         assert_eq!(lost.running(), 2, "{team}");
@@ -312,23 +314,23 @@
     rents.collect()
 }
 
-/// Work that its team's limit on accelerators keeps from running needs no machine, and
-/// must not stand before work that does.
+/// Work that can't run because its team is at its GPU quota needs no machine, and must not come
+/// before work that does.
 #[test]
-fn work_at_its_accelerator_quota_rents_nothing_and_blocks_nobody() {
+fn work_over_its_gpu_quota_rents_no_machine_and_blocks_no_other_work() {
     let mut cluster = new_cluster();
     let mut worker = Worker::new("vm-1");
     cluster.submit(&quota_filling_job("wk-000001", "by_gpus"), 0.0);
     cluster.heartbeat(&mut worker, "n", 1.0);
     assert_eq!(worker.running(), 2);
-    let blocked = Submission {
+    let over_quota = Submission {
         zone: Some("a".into()),
         priority: Priority::Production,
         estimate_s: 600.0,
         tasks: 50,
         ..quota_filling_job("wk-000002", "by_gpus")
     };
-    cluster.submit(&blocked, 1.0);
+    cluster.submit(&over_quota, 1.0);
     cluster.heartbeat(&mut worker, "n", 2.0);
     assert_eq!(rentals(&mut cluster.leader, 2.0), [""; 0]);
     let free = Submission {
@@ -346,14 +348,14 @@
     );
 }
 
-/// Nor does it preempt best-effort work.
+/// Work that can't run because its team is at its GPU quota must not preempt best-effort work.
 #[test]
-fn work_at_its_accelerator_quota_preempts_nothing() {
+fn work_over_its_gpu_quota_preempts_nothing() {
     let mut cluster = new_cluster();
     let mut worker = Worker::new("vm-1");
     cluster.submit(&quota_filling_job("wk-000001", "by_gpus"), 0.0);
     cluster.heartbeat(&mut worker, "n", 1.0);
-    // Another team's guarantee is none, so that all of its work may be preempted.
+    // Another team has no guarantee, so that all of its work may be preempted.
     let best_effort = Submission {
         team: "guest".into(),
         priority: Priority::Low,
@@ -376,20 +378,24 @@
         cluster.heartbeat(&mut worker, "n", 3.5 + f64::from(n));
     }
     assert_eq!(worker.running(), 4);
-    let blocked = Submission {
+    let over_quota = Submission {
         cpus: 4.0,
         ..quota_filling_job("wk-000003", "by_gpus")
     };
-    cluster.submit(&blocked, 7.0);
+    cluster.submit(&over_quota, 7.0);
     for n in 0..5 {
         cluster.heartbeat(&mut worker, "n", 7.0 + f64::from(n));
     }
-    assert_eq!(worker.running(), 4, "preempted for work that may not run");
+    assert_eq!(
+        worker.running(),
+        4,
+        "best-effort tasks were preempted for work that may not run"
+    );
 }
 
-/// Deaf machines take no work, so they are no reason to empty one that does: with more than
-/// a third of them unreachable none is deleted for it, and work waited beside a machine that was
-/// being emptied for as long as that lasted.
+/// Machines that receive no responses take no work, so they are no reason to empty one that does.
+/// With more than a third of the machines unreachable none is deleted for it, and work would wait
+/// beside a machine that is being emptied for as long as that lasts.
 #[test]
 fn machines_without_responses_are_no_reason_to_empty_a_reachable_one() {
     let mut cluster = new_cluster();
@@ -433,6 +439,6 @@
         cluster.heartbeat(&mut reachable, "n", now);
         cluster.leader.autoscale(now);
     }
-    // Of four that wait it takes the one that it has room for.
+    // The machine takes the one of four waiting tasks that it has room for.
     assert_eq!(reachable.running(), 1, "{}", cluster.leader.summary());
 }
