--- a/crates/control/tests/zone_constraints.rs
+++ b/crates/control/tests/zone_constraints.rs
@@ -1,5 +1,5 @@
-//! Jobs whose tasks must share a zone or be spread over several, when machines of a zone are
-//! lost or there never were any.
+//! Jobs whose tasks must share a zone or be spread over several, when a zone loses machines or
+//! never had any.
 
 mod common;
 
@@ -13,7 +13,7 @@
     worker
 }
 
-/// Machines of one team and nobody else's; what is rented is up at once.
+/// The machines of one service; rented machines are up at once.
 struct Fleet {
     cluster: TestCluster,
     machines: Vec<Worker>,
@@ -76,9 +76,9 @@
     }
 }
 
-/// There is room for all of it in one zone, where half of it may not run.
+/// One zone has room for the whole service, of which only half may run there.
 #[test]
-fn a_spread_service_has_a_machine_rented_in_the_zone_of_its_other_half() {
+fn a_spread_service_with_room_in_one_zone_rents_a_machine_in_another_zone() {
     let mut fleet = Fleet::new(&["a", "a"]);
     let spread = Submission {
         spread_over_zones: true,
@@ -95,9 +95,9 @@
     );
 }
 
-/// The zone's only machine is lost with half of a spread service.
+/// A zone's only machine is lost with half of a spread service.
 #[test]
-fn a_spread_service_that_lost_a_zone_has_a_machine_rented_there() {
+fn a_spread_service_that_lost_the_machine_of_a_zone_rents_another_there() {
     let mut fleet = Fleet::new(&["a", "a", "b"]);
     let spread = Submission {
         spread_over_zones: true,
@@ -117,9 +117,9 @@
     );
 }
 
-/// A single-zone service lost all but one of its machines, and other zones have room enough.
+/// A single-zone service loses all but one of its machines while other zones have room.
 #[test]
-fn a_single_zone_service_has_a_machine_rented_in_its_zone() {
+fn a_single_zone_service_that_lost_machines_rents_in_its_zone() {
     let mut fleet = Fleet::new(&["a", "a"]);
     let together = Submission {
         single_zone: true,
