--- a/crates/control/tests/controller_failovers.rs
+++ b/crates/control/tests/controller_failovers.rs
@@ -273,11 +273,11 @@
                 leader.remove_job(&id);
             }
         }
-        for (value, mark) in self.store.records.values() {
+        for (value, revision) in self.store.records.values() {
             if let StoredRecord::Job(j) = value
                 && !leader.has_live_job(&j.submission.id)
             {
-                leader.add_job((**j).clone(), *mark, now);
+                leader.add_job((**j).clone(), *revision, now);
             }
         }
         controller.leadership.view_completed(lease, now);
--- a/crates/control/tests/recovered_accounting.rs
+++ b/crates/control/tests/recovered_accounting.rs
@@ -269,5 +269,6 @@
         .records
         .iter()
         .filter(|r| r.0.starts_with(keys::LEDGER));
-    rows.map(|(key, (_, mark))| (key.clone(), *mark)).collect()
+    rows.map(|(key, (_, revision))| (key.clone(), *revision))
+        .collect()
 }
--- a/crates/control/tests/size.rs
+++ b/crates/control/tests/size.rs
@@ -235,7 +235,10 @@
         exchange_all_heartbeats(&mut leader, &mut workers, "n1", now);
         busy += usize::from(cloud.execute_calls(&mut leader, now) > 0);
     }
-    assert!(busy <= 12, "{busy} looks in which machines were returned");
+    assert!(
+        busy <= 12,
+        "{busy} autoscaler runs in which machines were returned"
+    );
 }
 
 /// The leader takes over the whole list of the cloud.
--- a/crates/control/tests/starvation.rs
+++ b/crates/control/tests/starvation.rs
@@ -111,11 +111,11 @@
     fn step(&mut self, now: f64) {
         for (at, worker) in self.workers.iter_mut().enumerate() {
             for t in &mut worker.tasks {
-                let long_jobs = self
+                let is_long = self
                     .long_jobs
                     .iter()
                     .any(|id| t.task.starts_with(id.as_str()));
-                let run_s = if long_jobs { LONG_RUN_S } else { RUN_S };
+                let run_s = if is_long { LONG_RUN_S } else { RUN_S };
                 let end = self.ends.entry((at, t.task.clone(), t.attempt));
                 if t.is_running() && now >= *end.or_insert(now + run_s) {
                     t.exit = Some(ExitCause::Done);
@@ -142,8 +142,9 @@
     }
 }
 
-/// High-priority jobs of the same team take all CPUs that become free. Without a remedy each
-/// other job was given one task after two minutes and no further one while that lasted.
+/// High-priority jobs of the same team take all CPUs that become free. Without protection
+/// from starvation each other job got one task after two minutes and no further one while that
+/// lasted.
 #[test]
 fn no_job_of_a_team_at_its_quota_starves() {
     let mut team = QuotaLimitedTeam::new();
