--- a/crates/control/src/leader/audit.rs
+++ b/crates/control/src/leader/audit.rs
@@ -1,4 +1,4 @@
-//! A check that all sums agree with a scan of all placements.
+//! A check for tests that all sums and indices agree with a scan of all placements.
 
 use super::*;
 use crate::resources::Resources;
@@ -22,12 +22,15 @@
                 }
                 if p.stage == PlacementStage::Planned && !self.machines_to_record.contains(name) {
                     return Err(format!(
-                        "{} waits on {name}, unknown to the ledger",
+                        "{} is planned on {name}, which is not among the machines to record",
                         p.task_id
                     ));
                 }
                 if (p.stage == PlacementStage::Durable) != (p.ledger_entry > 0) {
-                    return Err(format!("{} is durable without an entry", p.task_id));
+                    return Err(format!(
+                        "{}: its stage and its ledger entry disagree",
+                        p.task_id
+                    ));
                 }
                 if let Some(no) = p.job.filter(|no| self.jobs.contains_key(no)) {
                     *on.entry((no, p.task_index)).or_default() += 1;
@@ -39,17 +42,21 @@
         for (team, u) in self.quota_usage.iter() {
             let scan = usage.get(team.as_str()).copied().unwrap_or_default();
             if (u.cpus - scan.cpus).abs() > 1e-6 || (u.gpus - scan.gpus).abs() > 1e-6 {
-                return Err(format!("{team} uses {scan:?}, not {u:?}"));
+                return Err(format!(
+                    "team {team}: placements use {scan:?}, recorded as {u:?}"
+                ));
             }
         }
         for (id, recorded) in self.ledger.live_placements() {
             let scan = live.remove(&id).unwrap_or(0);
             if recorded != scan {
-                return Err(format!("entry {id:x} holds {scan}, not {recorded}"));
+                return Err(format!(
+                    "ledger entry {id:x} holds {scan} live placements, recorded as {recorded}"
+                ));
             }
         }
         if let Some((id, n)) = live.iter().next() {
-            return Err(format!("{n} placements in entry {id:x}, which is gone"));
+            return Err(format!("{n} placements in unknown ledger entry {id:x}"));
         }
         for (no, job) in self.jobs.iter() {
             let scan: HashMap<u32, u32> = on
@@ -68,7 +75,10 @@
                 || placed != job.placement_count
                 || !by_zone
             {
-                return Err(format!("{}: {scan:?} and {here} running", job.spec.id));
+                return Err(format!(
+                    "{}: counts differ from the scan: {scan:?} by task, {here} running",
+                    job.spec.id
+                ));
             }
         }
         Ok(())
--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -1,19 +1,19 @@
-//! Jobs that depend on others. The graph is in `cherrywood_dependencies`; this module connects
-//! it with the queue, with the ends of jobs that the state service tells, and with the
-//! transactions that cancel the dependents of a cancelled job. Each leader derives all of it
-//! from what is committed, so nothing of it is stored.
+//! Jobs that depend on others. The graph is in `cherrywood_dependencies`; this module connects it
+//! with the queue, with the ends of jobs as the key-value store records them, and with the
+//! transactions that cancel the dependents of a cancelled job. Each leader derives all of this from
+//! committed state, so none of it is stored.
 
 use super::*;
 use cherrywood_dependencies::DependencyGraph;
 use cherrywood_dependencies::{Deadline, Effects, JobEnd, JobRequirements, Readiness, ReadyJob};
 
-/// Which jobs depend on which, and what follows from it.
+/// The dependencies between jobs, and the pending consequences of ended jobs.
 #[derive(Debug)]
 pub(super) struct Dependencies {
     graph: DependencyGraph<Priority>,
     /// When effective priorities were last derived, s.
     priorities_derived_at: f64,
-    /// Live jobs that can never run, and since when that is known, s: to be cancelled.
+    /// Live jobs that can never run and are to be cancelled, and since when that is known, s.
     cascading_cancellations: BTreeMap<String, f64>,
 }
 
@@ -28,20 +28,20 @@
 }
 
 impl Dependencies {
-    /// A job is no longer live: it awaits no dependencies and needs no cancellation.
+    /// Removes a job that is no longer live: it awaits no dependencies and needs no cancellation.
     pub(super) fn remove(&mut self, id: &str) {
         self.graph.mark_not_live(id);
         self.cascading_cancellations.remove(id);
     }
 
-    /// When the last of the jobs that it needs was done, s; None if nobody knows.
+    /// When the last of the jobs that it depends on was done, s; `None` if unknown.
     pub(super) fn ready_since(&self, id: &str) -> Option<f64> {
         self.graph.ready_since(id)
     }
 }
 
 impl Leader {
-    /// Takes a job into the graph; true if it may start now.
+    /// Adds a job to the graph; returns whether it may start now.
     pub(super) fn add_to_dependencies(&mut self, spec: &Submission, due_at: Option<f64>) -> bool {
         let requirements = JobRequirements {
             priority: spec.priority,
@@ -68,8 +68,9 @@
         self.dependencies.graph.unresolved().cloned().collect()
     }
 
-    /// The state service says how a job ended. None, or a state that is not final, changes
-    /// nothing: the job stays among those to look up. `at_ms` is the time of day at its end.
+    /// Handles the end of a job as the key-value store records it. `None`, or a state that is not
+    /// final, changes nothing: the job stays among those to look up. `at_ms` is the time of day at
+    /// its end.
     pub fn job_ended(&mut self, id: &str, state: Option<JobState>, at_ms: Option<u64>, now: f64) {
         let end = match state {
             Some(JobState::Done) => JobEnd::Done,
@@ -90,7 +91,7 @@
             self.release_job(&id, since_s.unwrap_or(now), now);
         }
         for id in effects.unsatisfiable {
-            crate::trace_job!(id, "can never run: a job that it needs is cancelled");
+            crate::trace_job!(id, "can never run: a dependency is cancelled");
             self.dependencies
                 .cascading_cancellations
                 .entry(id)
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Every job that it needs is done: its tasks are queued from now on like any others.
+    /// Releases a job once every job that it depends on is done: from now on its tasks are queued
+    /// like any others.
     fn release_job(&mut self, id: &str, since: f64, now: f64) {
         let Some(no) = self.jobs.index_of(id) else {
             return;
@@ -108,7 +110,7 @@
         };
         job.awaiting_dependencies = false;
         job.ready_at = since.max(job.ready_at).min(now);
-        crate::trace_job!(id, "is ready: all that it needs is done");
+        crate::trace_job!(id, "ready: all dependencies are done");
         let delayed = self.delayed_tasks.iter().filter(|d| d.1 == no).map(|d| d.2);
         let away: HashSet<u32> = job
             .placements_by_task
@@ -120,9 +122,9 @@
         self.count_as_admitted(no, true, now);
     }
 
-    /// Derives the effective priority and latest start of each job from the jobs that depend on
-    /// it: when the graph changed, and else every `limits::PIPELINE_DEMAND_INTERVAL_S` for what
-    /// was learned of run times meanwhile.
+    /// Derives the effective priority and latest start of each job from the jobs that depend on it:
+    /// whenever the graph has changed, and otherwise every `limits::PIPELINE_DEMAND_INTERVAL_S`, to
+    /// account for run times learned meanwhile.
     pub(super) fn derive_priorities(&mut self, now: f64) {
         let changed = self.dependencies.graph.take_changed();
         if !changed
@@ -213,8 +215,8 @@
         }
     }
 
-    /// Has the cancellation of a job been pending for so long that the job may not be shown as
-    /// queued any more? It may take long where many others are cancelled before it.
+    /// Whether the cancellation of a job has been pending for so long that the job may not be shown
+    /// as queued any more. It may take long if many other jobs are cancelled before it.
     fn is_overdue_for_cancellation(&self, id: &str, now: f64) -> bool {
         let patience = self.settings.workers.cancel_s * limits::CASCADING_CANCELLATION_QUEUED_SHARE;
         self.dependencies
@@ -223,8 +225,8 @@
             .is_some_and(|at| now - at > patience)
     }
 
-    /// (done, running) of a live job, for display; [`COUNTS_WITHHELD`] if users may be told
-    /// nothing of it until its final state is written.
+    /// The counts of done and running tasks of a live job, for display; [`COUNTS_WITHHELD`] if
+    /// users may be told nothing of it until its final state is written.
     pub fn task_counts(&self, id: &str, now: f64) -> Option<(u32, u32)> {
         if self.is_overdue_for_cancellation(id, now) {
             return Some(COUNTS_WITHHELD);
@@ -234,5 +236,5 @@
     }
 }
 
-/// In place of the counts of a job whose cancellation is overdue: users are not told any.
+/// Returned in place of the counts of a job whose cancellation is overdue: users are not told any.
 pub const COUNTS_WITHHELD: (u32, u32) = (u32::MAX, u32::MAX);
--- a/crates/control/src/leader/direct_commands.rs
+++ b/crates/control/src/leader/direct_commands.rs
@@ -1,35 +1,35 @@
 //! Commands sent to workers directly, without waiting for their next heartbeat.
 //!
-//! Starts and graceful stops go through the shard owner; immediate stops to machines whose
-//! heartbeats stay away are sent by the leader itself. A direct command is bound to a token
-//! and an incarnation, and neither it nor its answer renews a lease or counts as a heartbeat.
+//! Starts and graceful stops go through the shard owner; the leader itself sends immediate stops to
+//! machines whose heartbeats stay away. A direct command is bound to a token and an incarnation,
+//! and neither the command nor its response renews a lease or counts as a heartbeat.
 
 use super::heartbeat_commands::{graceful_stop, immediate_stop, start};
 use super::*;
 
-/// Direct commands for one worker, and where it listens.
+/// Direct commands for one worker, and its address.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AddressedCommands {
     /// The name of the machine.
     pub machine: String,
     /// The address of its worker.
     pub address: String,
-    /// What the worker is sent.
+    /// The commands to send.
     pub commands: DirectCommands,
 }
 
-/// What became of a direct command.
+/// The outcome of a direct command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandOutcome {
     /// The worker executed it.
     Executed,
     /// The worker rejected it, or it was never sent: it has no effect.
     NotExecuted,
-    /// There was no answer: it may have been executed, or be executed later.
+    /// There was no response: it may have been executed, or be executed later.
     Unknown,
 }
 
-/// The form in messages between controllers.
+/// The form used in messages between controllers.
 impl From<CommandOutcome> for Option<bool> {
     fn from(outcome: CommandOutcome) -> Self {
         match outcome {
@@ -51,8 +51,8 @@
 }
 
 impl Leader {
-    /// Starts and graceful stops that are due, by the controller that owns the machines.
-    /// Each is returned once; `direct_commands_done` has to follow.
+    /// The starts and graceful stops that are due, by the controller that owns the machines. Each
+    /// is returned once; a call of `direct_commands_done` must follow.
     pub fn due_direct_commands(&mut self, now: f64) -> BTreeMap<String, Vec<AddressedCommands>> {
         let fresh_s = limits::MISSED_HEARTBEATS_MAX * self.settings.workers.report_s;
         let mut by_owner: BTreeMap<String, Vec<AddressedCommands>> = BTreeMap::new();
@@ -72,7 +72,7 @@
         by_owner
     }
 
-    /// What became of direct commands. A start that may yet be executed is fenced by a new
+    /// Handles the outcome of direct commands. A start that may yet be executed is fenced by a new
     /// token, which the worker sees with the next response to a heartbeat.
     pub fn direct_commands_done(
         &mut self,
@@ -95,19 +95,19 @@
                 machine.start_was_rejected(task, *attempt);
             }
         }
-        // A stop that is executed late ends its own attempt and nothing else.
+        // A stop that is executed late ends only its own attempt.
         let must_fence = has_starts && outcome == CommandOutcome::Unknown;
         if must_fence && machine.fencing_token == commands.fencing_token {
             machine.fencing_token = new_token;
         }
     }
 
-    /// Stops for work that may not go on, on machines whose heartbeats stay away: no
-    /// response carries them there, while direct commands may still arrive. A machine that
-    /// this leader never heard from is known from the ledger and the cloud's list.
+    /// The stops of tasks that may not go on, on machines whose heartbeats stay away: no response
+    /// carries stops there, while direct commands may still arrive. A machine that this leader has
+    /// never heard from is known from the ledger and the cloud's list.
     ///
-    /// Those whose last stop is the longest ago come first, `limits::DIRECT_CONTACT_MACHINES_MAX`
-    /// at a time.
+    /// Machines whose last stop was sent the longest ago come first,
+    /// `limits::DIRECT_CONTACT_MACHINES_MAX` at a time.
     pub fn due_direct_stops(&mut self, now: f64) -> Vec<AddressedCommands> {
         let silent_s = limits::MISSED_HEARTBEATS_MAX * self.settings.workers.report_s;
         let jobs = &self.jobs;
@@ -132,8 +132,8 @@
         stops
     }
 
-    /// Takes the status in the answer to a direct command: only the exits in it count. It is no
-    /// heartbeat otherwise, since the worker's lease isn't renewed by it.
+    /// Processes the status in the response to a direct command: only the exits in it count. It is
+    /// no heartbeat otherwise, since it doesn't renew the worker's lease.
     pub fn take_direct_status(&mut self, status: &Heartbeat, now: f64) {
         let Some(mut machine) = self.machines.remove(&status.machine) else {
             return;
@@ -144,7 +144,7 @@
 }
 
 impl Machine {
-    /// Starts and graceful stops that were not sent yet; they count as sent now.
+    /// Starts and graceful stops that were not sent yet; from now on they count as sent.
     fn take_due_commands(&mut self, name: &str, jobs: &JobTable, now: f64) -> Vec<Command> {
         let mut commands = Vec::new();
         for placement in self.placements.iter_mut() {
@@ -162,7 +162,7 @@
                 crate::trace_job!(
                     placement.task_id,
                     machine = name,
-                    holder = self.shard_owner,
+                    owner = self.shard_owner,
                     "start sent"
                 );
                 let attempt = (placement.task_id.clone(), placement.attempt);
@@ -173,7 +173,7 @@
         commands
     }
 
-    /// These commands, bound to the machine's token and incarnation.
+    /// The commands, bound to the machine's address, token and incarnation.
     fn addressed_commands(&self, name: &str, commands: Vec<Command>) -> AddressedCommands {
         debug!(
             machine = name,
@@ -194,8 +194,8 @@
         }
     }
 
-    /// A direct start had no effect: it may be sent again, unless a response to a heartbeat
-    /// carried it as well.
+    /// Records that a direct start had no effect: it may be sent again, unless a response to a
+    /// heartbeat carried it as well.
     fn start_was_rejected(&mut self, task: &str, attempt: u64) {
         let placement = self.placements.iter_mut().find(|p| p.task_id == task);
         if let Some(placement) = placement
@@ -206,8 +206,8 @@
         }
     }
 
-    /// Whether work that may not go on may run here while no heartbeat comes, and no stop
-    /// was sent of late.
+    /// Whether work that may not go on may run here, while no heartbeat arrives and no stop was
+    /// sent recently.
     fn needs_direct_stop(&self, jobs: &JobTable, silent_s: f64, now: f64) -> bool {
         let has_address = self.up || !self.address.is_empty();
         let silent_for_s = now - self.last_heartbeat_at;
@@ -219,7 +219,7 @@
 }
 
 impl Placement {
-    /// Whether it may run although its job is over.
+    /// Whether the task may be running although its job is over.
     fn may_run_on(&self, jobs: &JobTable) -> bool {
         self.stage == PlacementStage::Durable && !self.never_sent() && self.job_is_over(jobs)
     }
--- a/crates/control/src/leader/failures.rs
+++ b/crates/control/src/leader/failures.rs
@@ -1,30 +1,29 @@
-//! Failed tasks: is the job at fault, or the machine?
+//! Attribution of failed tasks to their job or to their machine.
 //!
-//! Comparison with other machines and jobs tells: a faulty job succeeds nowhere, and on a
-//! faulty machine no job succeeds. A job that fails on several machines is suspect and tried
-//! one task at a time, with ever longer pauses; a machine on which jobs fail that succeed
-//! elsewhere is cordoned.
+//! Comparison with other machines and jobs decides: a faulty job succeeds nowhere, and on a faulty
+//! machine no job succeeds. A job that fails on several machines is suspect and tried one task at a
+//! time, with ever longer pauses; a machine on which jobs fail that succeed elsewhere is cordoned.
 
 use super::{Job, JobIndex, Leader, Machine, Placement};
 use cherrywood_limits as limits;
 use tracing::{info, warn};
 
-/// How often the pause before a retry is doubled at most. It only keeps the power finite:
-/// `limits::FAULTY_JOB_RETRY_MAX_S` is reached before.
+/// Maximum number of times that the pause before a retry is doubled. It only keeps the power
+/// finite: `limits::FAULTY_JOB_RETRY_MAX_S` is reached before.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
 /// Failures of one job on one machine since a task last succeeded there.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct JobFailures {
-    /// How many tasks failed.
+    /// Number of tasks that failed.
     pub(super) count: u32,
     /// When the last task failed, on the leader's clock.
     pub(super) last_at: f64,
 }
 
 impl Leader {
-    /// A task of the job ran to its end: where tasks of it failed before, the machine is
-    /// at fault, and those failures count for the estimates of its key.
+    /// Records that a task of the job ran to its end: the machines on which its tasks failed before
+    /// are at fault, and those failures count for the estimates of its key.
     pub(super) fn record_success(&mut self, index: JobIndex, now: f64) {
         let Some(job) = self.jobs.get_mut(&index) else {
             return;
@@ -44,7 +43,8 @@
         }
     }
 
-    /// A task failed on the machine. Returns the pause before its job is tried again, s.
+    /// Records that a task failed on the machine. Returns the pause before its job is tried again,
+    /// s.
     pub(super) fn record_failure(
         &mut self,
         machine: &mut Machine,
@@ -75,9 +75,9 @@
         pause_s
     }
 
-    /// Is the machine at fault? Nothing has succeeded on it since these jobs failed
-    /// there: each failure of a job that succeeds elsewhere counts against it, those of a job
-    /// that fails elsewhere too do not.
+    /// Cordons the machine if it is at fault. Nothing has succeeded on it since these jobs failed
+    /// there: each failure of a job that succeeds elsewhere counts against it, those of a job that
+    /// fails elsewhere too do not.
     fn cordon_if_faulty(&self, machine: &mut Machine, name: &str) {
         let mut failures_of_working_jobs = 0;
         let mut jobs_failed_only_here = 0;
@@ -105,8 +105,7 @@
     }
 }
 
-/// The pause before a suspect job is tried again, s: it doubles with each retry that
-/// failed.
+/// The pause before a suspect job is tried again, s: it doubles with each failed retry.
 fn next_backoff_s(job: &mut Job, now: f64) -> f64 {
     // Tasks that were started before the pause don't make it longer.
     if now >= job.retry_at {
--- a/crates/control/src/leader/freeing.rs
+++ b/crates/control/src/leader/freeing.rs
@@ -1,9 +1,10 @@
-//! How a placement is freed: on which proof, and what follows for its task.
+//! Freeing of placements: the proofs on which a placement is freed, and the consequences for its
+//! task.
 
 use super::*;
 use std::fmt;
 
-/// Why a placement is freed: each is a proof that its task doesn't run and won't start.
+/// Why a placement is freed: each reason is a proof that its task doesn't run and won't start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum FreeReason {
     /// A message of its worker lists the attempt as exited.
@@ -33,12 +34,12 @@
     }
 }
 
-/// How many placements a leader has freed for each reason.
+/// Number of placements that a leader has freed for each reason.
 #[derive(Debug, Default)]
 pub(super) struct FreedCounts(BTreeMap<FreeReason, u64>);
 
 impl FreedCounts {
-    /// Counts one.
+    /// Counts one placement freed for this reason.
     pub(super) fn add(&mut self, reason: FreeReason) {
         *self.0.entry(reason).or_default() += 1;
     }
@@ -54,7 +55,7 @@
     }
 }
 
-/// Where placements are freed, and on which proof.
+/// The machine on which placements are freed, and the proof.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FreeContext<'a> {
     /// The name of the machine.
@@ -63,12 +64,12 @@
     zone: &'a str,
     /// Why they are freed.
     reason: FreeReason,
-    /// The message of the worker that proves it, if one does.
+    /// The worker's message that proves the reason, if a message does.
     shown_by: Option<&'a Heartbeat>,
 }
 
 impl<'a> FreeContext<'a> {
-    /// A message of the machine's worker proves it.
+    /// The context in which a message of the machine's worker is the proof.
     pub(super) fn shown_by(message: &'a Heartbeat, zone: &'a str, reason: FreeReason) -> Self {
         FreeContext {
             machine: &message.machine,
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Nothing from the machine proves it: the cloud does, or time.
+    /// The context in which no message from the machine is the proof, but the cloud or elapsed
+    /// time.
     pub(super) fn without_message(machine: &'a str, zone: &'a str, reason: FreeReason) -> Self {
         FreeContext {
             machine,
@@ -90,8 +92,8 @@
 }
 
 impl Leader {
-    /// Frees placements whose tasks were lost with their machine or incarnation; they were
-    /// taken off the machine already. Their run times count as censored.
+    /// Frees placements whose tasks were lost with their machine or incarnation. The caller has
+    /// already removed the placements from the machine. Their run times count as censored.
     pub(super) fn free_lost(&mut self, lost: Vec<Placement>, context: &FreeContext, now: f64) {
         for placement in lost {
             info!(
@@ -114,8 +116,8 @@
         }
     }
 
-    /// A placement is off its machine for certain; its task waits again
-    /// unless it is finished or its job is over.
+    /// Frees a placement that is certainly off its machine; its task waits again unless it is
+    /// finished or its job is over.
     pub(super) fn free_placement(
         &mut self,
         p: &Placement,
@@ -137,9 +139,8 @@
         let Some(job) = self.jobs.get(&no) else {
             return;
         };
-        // Another placement of the task may not be freed yet: until it is, the task must not
-        // be started again. A job that awaits dependencies has its tasks queued when it is
-        // ready.
+        // Another placement of the task may not be freed yet: until it is, the task must not be
+        // started again. A job that awaits dependencies has its tasks queued when it becomes ready.
         if job.awaiting_dependencies
             || job.done.get(p.task_index)
             || job.placements_by_task.contains_key(&p.task_index)
--- a/crates/control/src/leader/heartbeat_commands.rs
+++ b/crates/control/src/leader/heartbeat_commands.rs
@@ -1,17 +1,18 @@
 //! The commands in the response to a heartbeat.
 //!
-//! A heartbeat lists what is on the worker. The response has it forget tasks whose exit is
-//! recorded, stop those that may not go on or that should move, and start those that were
+//! A heartbeat lists the tasks on the worker. The response tells it to forget tasks whose exit is
+//! recorded, to stop those that may not go on or that should move, and to start those that were
 //! placed there and aren't listed yet.
 
 use super::job_table::KnownJob;
 use super::*;
 
-/// For how many times `limits::MISSED_HEARTBEATS_MAX` heartbeats a graceful stop isn't
-/// repeated: the task may not have begun to save when the next ones were sent.
+/// A graceful stop is not repeated within this many times the length of
+/// `limits::MISSED_HEARTBEATS_MAX` heartbeats: the task may not have begun to save when the next
+/// ones were sent.
 const STOP_REPEAT_PATIENCE: f64 = 2.0;
 
-/// A stop that leaves the task time to save a checkpoint, if it does.
+/// A stop that leaves the task time to save a checkpoint, if the task saves any.
 pub(super) fn graceful_stop(placement: &Placement, job: &Job) -> Command {
     Command::Stop {
         task: placement.task_id.clone(),
@@ -29,7 +30,7 @@
     }
 }
 
-/// The start of a placement that is in the ledger.
+/// The start command for a placement that is in the ledger.
 pub(super) fn start(placement: &Placement) -> Command {
     Command::Start {
         task: placement.task_id.clone(),
@@ -38,8 +39,8 @@
 }
 
 impl Leader {
-    /// The commands in the response to this heartbeat; none if a newer one was taken
-    /// meanwhile, whose response has them.
+    /// The commands in the response to this heartbeat; none if a newer heartbeat was accepted
+    /// meanwhile, whose response carries them.
     pub fn heartbeat_commands(&mut self, heartbeat: &Heartbeat, now: f64) -> Vec<Command> {
         let mut commands = Vec::new();
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
@@ -90,11 +91,11 @@
 }
 
 impl Machine {
-    /// Has the worker forget a task that exited.
+    /// The command that has the worker forget a task that exited.
     ///
-    /// Not before it has seen the newest token and the direct start of the attempt is answered,
-    /// or a start that is still on its way could run the task again; and if the task is done,
-    /// that must be durable first.
+    /// Not given before the worker has seen the newest token and the direct start of the attempt
+    /// has been answered, since a start that is still in flight could run the task again; and if
+    /// the task is done, that must be durable first.
     fn forget_command(
         &self,
         task: &TaskStatus,
@@ -120,9 +121,9 @@
         })
     }
 
-    /// Decides that a running task that saves checkpoints leaves the machine: because the
-    /// cloud is about to reclaim it, or because it is emptied and the task has run for long
-    /// enough that saving is worth it.
+    /// Requests that a running task that saves checkpoints leaves the machine, either because the
+    /// cloud is about to reclaim the machine or because the machine is being emptied and the task
+    /// has run for long enough that saving is worth it.
     fn move_if_due(
         &mut self,
         at: usize,
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Stops a task that is to leave the machine. A stop that got lost is sent again; a task
-    /// that saves is left alone.
+    /// The stop of a task that is to leave the machine, if due. A lost stop is sent again; a task
+    /// that is saving is left alone.
     fn graceful_stop_command(
         &mut self,
         at: usize,
@@ -167,8 +168,8 @@
         Some(graceful_stop(&self.placements[at], job))
     }
 
-    /// Starts what was placed here and isn't known to be here, and stops what of it may no
-    /// longer start.
+    /// Adds starts of placements that are not known to be on the worker yet, and stops of those
+    /// among them that may no longer start.
     fn start_commands(
         &mut self,
         heartbeat: &Heartbeat,
@@ -185,9 +186,9 @@
                 placement.start_attempts += 1;
                 commands.push(start(placement));
             } else if is_over && !placement.is_listed_in(heartbeat) {
-                // Its start may have arrived after this heartbeat was sent, so its stop
-                // follows it; whatever incarnation the heartbeat is of, the shard lease is
-                // not extended without that.
+                // The start may have arrived after this heartbeat was sent, so a stop follows it;
+                // whatever incarnation the heartbeat is of, the shard lease is not extended without
+                // that.
                 if !placement.never_sent() {
                     commands.push(immediate_stop(&placement.task_id, placement.attempt));
                 }
@@ -198,7 +199,7 @@
 }
 
 impl Placement {
-    /// Whether the response to this heartbeat may carry the start.
+    /// Whether the response to this heartbeat may carry the start of this placement.
     fn may_start_by(&self, heartbeat: &Heartbeat) -> bool {
         !self.from_previous_term
             && !self.acknowledged
@@ -207,8 +208,9 @@
             && self.start_attempts < limits::START_COMMAND_ATTEMPTS_MAX
     }
 
-    /// Its job ended before it was ever listed: no start is sent any more, and once the
-    /// next heartbeat doesn't list it either, it is freed as absent.
+    /// Gives up the start of a placement whose job ended before a heartbeat ever listed it: no
+    /// start is sent any more, and once the next heartbeat doesn't list it either, it is freed as
+    /// absent.
     fn give_up_start(&mut self, heartbeat: &Heartbeat) {
         if self.incarnation == heartbeat.incarnation && !self.acknowledged {
             self.start_attempts = limits::START_COMMAND_ATTEMPTS_MAX;
@@ -222,8 +224,8 @@
     }
 }
 
-/// s for which a task must have run before it is moved off a machine that is emptied: more
-/// if an objective counts the start of its class, which moving it would undo.
+/// Time for which a task must have run before it is moved off a machine that is being emptied, s:
+/// more if an objective counts the start of its class, which moving it would undo.
 fn move_after_s(job: &Job, settings: &Settings) -> f64 {
     let mut objectives = settings.objectives.iter();
     match objectives.any(|o| o.kind == "wait" && o.class == job.spec.class) {
--- a/crates/control/src/leader/heartbeats.rs
+++ b/crates/control/src/leader/heartbeats.rs
@@ -1,9 +1,8 @@
-//! Taking heartbeats: what a worker's heartbeat proves about its machine and placements.
+//! Processing of heartbeats: what a worker's heartbeat proves about its machine and placements.
 //!
-//! A heartbeat is taken once, in the order of its incarnation and sequence number. Its
-//! arrival renews the machine's shard lease; its task list starts, ends or frees
-//! placements, each by the rule that the function below states. Nothing is freed on
-//! silence alone.
+//! Each heartbeat is accepted at most once, in the order of incarnation and sequence number. Its
+//! arrival renews the machine's shard lease; its task list starts, ends or frees placements, each
+//! by the rule that the function below states. Nothing is freed on silence alone.
 
 use super::*;
 
@@ -13,9 +12,9 @@
 }
 
 impl Leader {
-    /// Takes a worker's heartbeat that the controller `owner` received, with the run times
-    /// that it measured. Returns the fencing token of the response; `None` if the heartbeat
-    /// is stale, or of a deleted machine, and must not be answered.
+    /// Processes a worker's heartbeat that the controller `owner` received, with the run times that
+    /// it measured. Returns the fencing token of the response; `None` if the heartbeat is stale, or
+    /// of a deleted machine, and must not be answered.
     pub fn take_heartbeat(
         &mut self,
         owner: &str,
@@ -29,8 +28,9 @@
         self.adopt_unknown_machine(heartbeat, now);
         let mut machine = self.machines.remove(&heartbeat.machine)?;
         let token = if machine.is_stale(heartbeat) {
-            // A stale heartbeat describes a past state that may not be acted on; a copy of one
-            // that was taken already doesn't prove that the worker is alive, and renews nothing.
+            // A stale heartbeat describes a past state that must not be acted on; a copy of a
+            // heartbeat that was already accepted doesn't prove that the worker is alive, and
+            // renews nothing.
             self.query_status_if_silent(&mut machine, heartbeat, now);
             None
         } else {
@@ -40,7 +40,7 @@
         token
     }
 
-    /// Takes a heartbeat that is newer than all before; returns the token of the response.
+    /// Processes a heartbeat that is newer than all before; returns the token of the response.
     fn take_newest_heartbeat(
         &mut self,
         machine: &mut Machine,
@@ -65,7 +65,7 @@
         machine.fencing_token
     }
 
-    /// Adds the machine of a worker that neither the ledger nor the cloud's list has named yet.
+    /// Adds the machine of a worker if neither the ledger nor the cloud's list has named it yet.
     fn adopt_unknown_machine(&mut self, heartbeat: &Heartbeat, now: f64) {
         if self.machines.contains_key(&heartbeat.machine) {
             return;
@@ -84,14 +84,14 @@
         self.machines.insert(heartbeat.machine.clone(), machine);
     }
 
-    /// Frees what earlier incarnations of the worker ran: a newer incarnation has killed
+    /// Frees the placements of earlier incarnations of the worker: a newer incarnation has killed
     /// and forgotten every task.
     ///
-    /// The heartbeat proves that only if its worker had seen a token of the term in which
-    /// the task was placed. Else it may be a copy from before the worker restarted, since a
-    /// restarted worker counts its incarnations anew. Whether it restarted within the term
-    /// of an earlier leader isn't known here, so a placement of an earlier term, or of before a
-    /// restart (`from_previous_term`), needs a token issued after it. Tokens and attempts share
+    /// The heartbeat proves that only if its worker had seen a token of the term in which the task
+    /// was placed. Otherwise it may be a copy from before the worker restarted, since a restarted
+    /// worker counts its incarnations anew. Whether the worker restarted within the term of an
+    /// earlier leader is unknown here, so a placement of an earlier term, or from before a restart
+    /// (`from_previous_term`), needs a token issued after its attempt. Tokens and attempts share
     /// one counter.
     fn free_earlier_incarnations(
         &mut self,
@@ -111,7 +111,7 @@
         self.free_lost(lost, &context, now);
     }
 
-    /// Run times that the shard owner measured, for the estimates of their keys.
+    /// Records run times that the shard owner measured, for the estimates of their keys.
     fn record_run_times(&mut self, finished: &[(String, f64)], now: f64) {
         for (task, run_s) in finished {
             if let Some((id, _)) = parse_task_id(task)
@@ -125,8 +125,8 @@
 
     // --- reconciliation of the task list with the placements ---
 
-    /// Tasks on the worker are acknowledged, those that exited are recorded and freed, and then
-    /// those that it doesn't list are freed.
+    /// Acknowledges tasks on the worker, then records and frees those that exited, and then frees
+    /// those that the worker doesn't list.
     fn reconcile_tasks(&mut self, machine: &mut Machine, heartbeat: &Heartbeat, now: f64) {
         let listed = heartbeat.tasks.iter();
         for task in listed.filter(|t| t.state != TaskState::Exited) {
@@ -136,7 +136,7 @@
         self.free_absent(machine, heartbeat, now);
     }
 
-    /// A task is on its machine: its placement is acknowledged, and running if it runs.
+    /// Marks the placement of a listed task as acknowledged, and as running if the task runs.
     fn acknowledge_task(&mut self, machine: &mut Machine, name: &str, task: &TaskStatus, now: f64) {
         let Some(at) = machine.index_of(task) else {
             return;
@@ -161,8 +161,8 @@
         }
     }
 
-    /// A task runs, so its image is on the machine. That is also how a new leader learns
-    /// where images are.
+    /// Records that the image of a running task is on the machine. A new leader also learns in this
+    /// way where images are.
     fn note_cached_image(
         &self,
         machine: &mut Machine,
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Frees placements whose tasks have exited, and counts those that succeeded. An
-    /// attempt that exited never runs again, so this holds however old the message is.
+    /// Frees placements whose tasks have exited, and counts those that succeeded. An attempt that
+    /// exited never runs again, so this holds however old the message is.
     pub(super) fn take_exits(&mut self, machine: &mut Machine, heartbeat: &Heartbeat, now: f64) {
         let mut succeeded: Vec<JobIndex> = Vec::new();
         let listed = heartbeat.tasks.iter();
@@ -216,7 +216,7 @@
         }
     }
 
-    /// A task ran to its end; returns its job if that wasn't known yet.
+    /// Records that a task ran to its end; returns its job if that wasn't known yet.
     fn record_done(&mut self, task: &str) -> Option<JobIndex> {
         let (id, index) = parse_task_id(task)?;
         let no = self.jobs.index_of(id)?;
@@ -233,9 +233,9 @@
         Some(no)
     }
 
-    /// Frees placements that the heartbeat doesn't list, where no command that could still
-    /// start them can reach the worker: it has seen the current token, which fences every
-    /// older command, and whatever carried the start has been answered.
+    /// Frees placements that the heartbeat doesn't list and that no command can still start on the
+    /// worker: it has seen the current token, which fences every older command, and whatever
+    /// carried the start has been answered.
     fn free_absent(&mut self, machine: &mut Machine, heartbeat: &Heartbeat, now: f64) {
         if heartbeat.fencing_token < machine.fencing_token {
             return;
@@ -247,8 +247,8 @@
             .collect();
         let unanswered = std::mem::take(&mut machine.unanswered_starts);
         let is_absent = |p: &Placement| {
-            // A direct start without an answer may still arrive, however many heartbeats
-            // come first: a leader short of processor time sends it late.
+            // A direct start without a response may still arrive, however many heartbeats come
+            // first: a leader short of processor time sends it late.
             let start_may_arrive = p.stage != PlacementStage::Durable
                 || unanswered.contains(&(p.task_id.clone(), p.attempt));
             if start_may_arrive || listed.contains(&(p.task_id.as_str(), p.attempt)) {
@@ -266,7 +266,7 @@
 }
 
 impl Machine {
-    /// Logs that the machine is up, when this leader hears its worker for the first time.
+    /// Logs that the machine is up, when this leader first receives a heartbeat of its worker.
     fn log_first_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) {
         if self.up {
             return;
@@ -289,7 +289,7 @@
         }
     }
 
-    /// What the heartbeat says of the machine itself.
+    /// Records what the heartbeat says of the machine itself.
     fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) {
         self.incarnation = heartbeat.incarnation;
         self.heartbeat_seq = heartbeat.sequence;
@@ -308,9 +308,9 @@
         }
     }
 
-    /// Whether responses reach the worker: its heartbeats come on, so the token that they
-    /// show must follow the one it is answered with. Any newer token than before counts,
-    /// since a worker that moves from one controller to another is always one behind.
+    /// Records whether responses reach the worker. Its heartbeats keep arriving, so the token that
+    /// they show must follow the one in the responses. Any token newer than before counts, since a
+    /// worker that moves from one controller to another is always one token behind.
     fn record_acknowledged_token(&mut self, heartbeat: &Heartbeat, settings: &Settings, now: f64) {
         let is_newest = heartbeat.fencing_token >= self.fencing_token;
         if is_newest || heartbeat.fencing_token > self.acknowledged_token {
--- a/crates/control/src/leader/job_batch.rs
+++ b/crates/control/src/leader/job_batch.rs
@@ -1,8 +1,8 @@
-//! The transactions about jobs: final states, progress, cancellations that follow from
-//! others, and the deletion of records that nobody needs.
+//! Transactions about jobs: final states, progress, cancellations that follow from others, and the
+//! deletion of obsolete records.
 //!
-//! Every transaction is guarded by the leader's key, and by the revision of each record that
-//! it rests on. What it writes counts only once the state service has confirmed it.
+//! Every transaction is guarded by the leader's key, and by the revision of each record that it
+//! depends on. What it writes counts only once the key-value store has confirmed it.
 
 use super::Leader;
 use super::job::{Job, JobIndex};
@@ -16,41 +16,42 @@
 use cherrywood_wire::user::JobState;
 use std::collections::BTreeSet;
 
-/// Size of a transaction without changes, bytes, at most.
+/// Maximum size of a transaction without changes, bytes.
 const TXN_HEADER_BYTES: usize = 200;
-/// Size that a final state adds with its guards, bytes, at most.
+/// Maximum size that a final state adds with its guards, bytes.
 const FINAL_STATE_BYTES: usize = 300;
-/// Size that a part of a job's progress adds beside its bitmap, bytes, at most.
+/// Maximum size that a part of a job's progress adds beside its bitmap, bytes.
 const PROGRESS_HEADER_BYTES: usize = 200;
-/// A final state deletes the job and its progress and writes the state.
+/// Changes of a final state: it deletes the job and its progress and writes the state.
 const FINAL_STATE_CHANGES: usize = 3;
-/// Least changes of a job transaction, whatever the limits: fewer couldn't hold a final state.
+/// Minimum number of changes that a job transaction may have, whatever the limits: fewer couldn't
+/// hold a final state.
 const MIN_CHANGES: usize = 3;
 
 /// A job transaction whose outcome isn't known yet: cancellations, final states, progress, or
 /// deletions of obsolete records.
 #[derive(Debug)]
 pub struct JobBatch {
-    /// What is to be committed.
+    /// The transaction to commit.
     pub txn: Txn,
-    /// Jobs whose progress it writes, and the parts.
+    /// Jobs whose progress it writes, with the parts.
     progress: Vec<(JobIndex, PartBytes)>,
     /// Jobs that it ends as done, with their ids.
     finals: Vec<(JobIndex, String)>,
-    /// Ids of jobs that it cancels because one that they need is cancelled.
+    /// Ids of jobs that it cancels because a job that they depend on is cancelled.
     pub(super) cancelled_dependents: Vec<String>,
     /// Obsolete keys that it deletes.
     deleted_keys: Vec<String>,
 }
 
 impl JobBatch {
-    /// Does it hold final states, which users wait for?
+    /// Whether it holds final states, which users wait for.
     pub fn has_final_states(&self) -> bool {
         !self.finals.is_empty() || !self.cancelled_dependents.is_empty()
     }
 }
 
-/// A job transaction being put together, within the limits of the state service.
+/// A job transaction under construction, within the limits of the key-value store.
 struct JobBatchBuilder {
     batch: JobBatch,
     max_changes: usize,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Is there no room for so many more changes? An empty transaction always has room.
+    /// Whether there is no room for this many more changes. An empty transaction always has room.
     fn is_full(&self, changes: usize) -> bool {
         let present = self.batch.txn.changes.len();
         present > 0 && (present + changes > self.max_changes || self.bytes > limits::TXN_BYTES_MAX)
@@ -98,8 +99,8 @@
             .push(Change::Put { key, value, lease });
     }
 
-    /// Ends a job as done: its record and its progress go, its final state comes. False if
-    /// the transaction is full.
+    /// Ends a job as done: deletes its record and its progress and writes its final state. Returns
+    /// false if the transaction is full.
     fn add_final_state(&mut self, index: JobIndex, job: &mut Job, at_ms: Option<u64>) -> bool {
         self.bytes += FINAL_STATE_BYTES;
         if self.is_full(FINAL_STATE_CHANGES) {
@@ -117,14 +118,13 @@
             ended_at_ms: at_ms,
         };
         self.put(keys::ended(id), StoredRecord::FinalState(record));
-        crate::trace_job!(id, "final state on its way");
+        crate::trace_job!(id, "final state write in flight");
         self.batch.finals.push((index, id.clone()));
         job.write_in_flight = true;
         true
     }
 
-    /// Writes the parts of a job's progress that changed, as many as fit. False if none
-    /// does.
+    /// Writes the changed parts of a job's progress, as many as fit. Returns false if none fits.
     fn add_progress(&mut self, index: JobIndex, job: &mut Job, max_whole_bytes: usize) -> bool {
         let id = &job.spec.id;
         let mut parts = Vec::new();
@@ -158,8 +158,8 @@
 
     /// Deletes an obsolete record.
     fn add_deletion(&mut self, key: &str) {
-        // Chunks of a submission that no job record named when they were found may be named by
-        // a record written since: the guard says that there is none.
+        // Chunks of a submission that no job record named when they were found may be named by a
+        // record written since: the guard requires that there is none.
         if let Some(id) = keys::submission_of(key) {
             let job_key = keys::job(id);
             if !self.batch.txn.guards.iter().any(|g| g.key == job_key) {
@@ -176,8 +176,9 @@
     }
 }
 
-/// Does the state service lack progress of the job, and may a transaction with it be sent?
-/// Not while one is on its way, nor before records that it rests on were read again.
+/// Whether the key-value store lacks progress of the job and a transaction with it may be sent.
+/// None may be sent while one is in flight, nor before the records that it depends on were read
+/// again.
 fn needs_write(job: &Job, keys_to_reread: &BTreeSet<String>) -> bool {
     let id = &job.spec.id;
     !job.write_in_flight
@@ -209,7 +210,8 @@
         builder.finish()
     }
 
-    /// Changes of a job transaction: few, so that it finds room in the write budget soon.
+    /// Maximum number of changes of a job transaction: few, so that it soon finds room in the write
+    /// budget.
     fn max_job_changes(&self) -> usize {
         let share = self.store_limits.write_rps * limits::JOB_BATCH_CHANGES_SHARE;
         let max_changes = self.store_limits.txn_changes.min(share as usize);
@@ -251,8 +253,8 @@
         }
     }
 
-    /// What became of a job transaction. Returns the ids of the jobs whose end as done is now
-    /// durable.
+    /// Handles the outcome of a job transaction. Returns the ids of the jobs whose end as done is
+    /// now durable.
     pub fn job_batch_done(
         &mut self,
         batch: JobBatch,
@@ -297,7 +299,7 @@
             }
         }
         for id in batch.cancelled_dependents {
-            crate::trace_job!(id, "cancelled with the job that it needs");
+            crate::trace_job!(id, "cancelled because a dependency is cancelled");
             self.job_ended(&id, Some(JobState::Cancelled), None, now);
         }
         for key in batch.deleted_keys {
--- a/crates/control/src/leader/job_table.rs
+++ b/crates/control/src/leader/job_table.rs
@@ -1,37 +1,37 @@
-//! All live jobs of this leader: found by their index or their id, and which of them have
-//! progress that the state service may lack.
+//! The table of this leader's live jobs, by index and by id. It also tracks which of them have
+//! progress that the key-value store may lack.
 
 use super::job::{Job, JobIndex};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, HashMap};
 
-/// What is known of the job of an id.
+/// What the leader knows of the job with a given id.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum KnownJob<'a> {
-    /// It is live.
+    /// The job is live.
     Live(&'a Job),
-    /// It is live, and its record can't be read here: what runs of it goes on.
+    /// The job is live, but its record can't be read here: its running tasks go on.
     Unreadable,
-    /// It is over, or there never was such a job.
+    /// The job is over, or never existed.
     Over,
 }
 
-/// The live jobs. Lookups by index run for everything that waits in every placement pass;
-/// the indices are our own numbers, so a fast hash that can't resist collisions will do.
+/// The live jobs. Lookups by index run for every waiting task in every placement pass; the indices
+/// are the leader's own numbers, so a fast hash that can't resist collisions is sufficient.
 #[derive(Debug, Default)]
 pub(super) struct JobTable {
     jobs: FxHashMap<JobIndex, Job>,
     index_by_id: HashMap<String, JobIndex>,
     next_index: JobIndex,
-    /// Jobs of which the state service may lack something that is done.
+    /// Jobs with finished tasks that the key-value store may lack.
     dirty: BTreeSet<JobIndex>,
-    /// Ids of live jobs whose records can't be read here: nothing of them is started, and what
-    /// runs of them goes on.
+    /// Ids of live jobs whose records can't be read here: none of their tasks is started, and those
+    /// that run go on.
     unreadable: BTreeSet<String>,
 }
 
 impl JobTable {
-    /// Takes in a job under the next index.
+    /// Inserts a job under the next index.
     pub(super) fn insert(&mut self, job: Job) -> JobIndex {
         let index = self.next_index;
         self.next_index += 1;
@@ -41,7 +41,7 @@
         index
     }
 
-    /// Takes out a job that is no longer live.
+    /// Removes a job that is no longer live.
     pub(super) fn remove(&mut self, id: &str) -> Option<(JobIndex, Job)> {
         self.unreadable.remove(id);
         let index = self.index_by_id.remove(id)?;
@@ -49,12 +49,12 @@
         Some((index, job))
     }
 
-    /// These live jobs have records that can't be read here; no others.
+    /// Sets the live jobs whose records can't be read here, in place of those set before.
     pub(super) fn set_unreadable(&mut self, ids: BTreeSet<String>) {
         self.unreadable = ids;
     }
 
-    /// Is it live, with a record that can't be read here?
+    /// Whether the job is live with a record that can't be read here.
     pub(super) fn is_unreadable(&self, id: &str) -> bool {
         self.unreadable.contains(id)
     }
@@ -74,7 +74,7 @@
         self.jobs.get_mut(index)
     }
 
-    /// Is the job of this index live?
+    /// Whether the job of this index is live.
     pub(super) fn contains_key(&self, index: &JobIndex) -> bool {
         self.jobs.contains_key(index)
     }
@@ -89,7 +89,7 @@
         self.jobs.get(self.index_by_id.get(id)?)
     }
 
-    /// What is known of the job of this id.
+    /// What the leader knows of the job of this id.
     pub(super) fn look_up(&self, id: &str) -> KnownJob<'_> {
         match self.by_id(id) {
             Some(job) => KnownJob::Live(job),
@@ -103,33 +103,33 @@
         self.jobs.get_mut(self.index_by_id.get(id)?)
     }
 
-    /// Ids of all live jobs, in no order.
+    /// Ids of all live jobs, in no particular order.
     pub(super) fn ids(&self) -> impl Iterator<Item = &String> {
         self.index_by_id.keys()
     }
 
-    /// All live jobs and their indices, in no order.
+    /// All live jobs and their indices, in no particular order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&JobIndex, &Job)> {
         self.jobs.iter()
     }
 
-    /// All live jobs, in no order.
+    /// All live jobs, in no particular order.
     pub(super) fn values(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// How many jobs are live.
+    /// Number of live jobs.
     pub(super) fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// A task of the job was finished: this must be written to the state service.
+    /// Records that a task of the job was finished, which must be written to the key-value store.
     pub(super) fn mark_dirty(&mut self, index: JobIndex) {
         self.dirty.insert(index);
     }
 
-    /// Jobs with finished tasks that the state service lacks, oldest first. Those that it
-    /// has meanwhile, or that are over, are dropped from the set.
+    /// Returns the jobs with finished tasks that the key-value store lacks, oldest first. Jobs that
+    /// lack nothing there by now, or that are over, are dropped from the set.
     pub(super) fn take_stock_of_dirty(&mut self) -> Vec<JobIndex> {
         let jobs = &self.jobs;
         let lacks_progress = |job: &Job| job.done.count() != job.persisted_done.count();
--- a/crates/control/src/leader/jobs.rs
+++ b/crates/control/src/leader/jobs.rs
@@ -1,4 +1,4 @@
-//! How jobs enter the leader's state, how their tasks are queued, and how jobs leave it.
+//! Insertion of jobs into the leader's state, queueing of their tasks, and removal of jobs.
 
 use super::job::stable_name_hash;
 use super::recovery::ProgressPart;
@@ -6,10 +6,10 @@
 use cherrywood_admission::{AdmittedJob, job_hash};
 
 impl Leader {
-    /// Takes in a live job whose record has the revision `mark`.
+    /// Inserts a live job whose record has the revision `mark`.
     ///
-    /// `saved` are its progress records, `placed` its tasks that have a placement: they are not
-    /// queued. `fresh` says that it is a new submission, not one that was recovered; admission
+    /// `saved` are its progress records; `placed` are its tasks that have a placement, which are
+    /// not queued. `fresh` is true for a new submission and false for a recovered job; admission
     /// counts the two differently.
     pub(super) fn insert_job(
         &mut self,
@@ -37,8 +37,8 @@
             };
             Some((aim, o.within_s))
         });
-        // It isn't known when its tasks were placed: now is assumed, so that it doesn't count as
-        // starving.
+        // It is unknown when its tasks were placed: the current time is assumed, so that the job
+        // doesn't count as starving.
         let on_machines = placed.is_some_and(|tasks| !tasks.is_empty());
         let no = self.jobs.insert(Job {
             estimate_key_hash: stable_name_hash(&key),
@@ -86,7 +86,7 @@
         no
     }
 
-    /// Queues its tasks that are neither finished nor `away` (placed or delayed), as ranges.
+    /// Queues the job's tasks that are neither finished nor `away` (placed or delayed), as ranges.
     pub(super) fn enqueue_tasks(&mut self, no: JobIndex, away: &HashSet<u32>, now: f64) {
         let Some(job) = self.jobs.get(&no) else {
             return;
@@ -100,7 +100,7 @@
             level,
             done = job.done.count(),
             on_machines = away.len(),
-            "enters the queue"
+            "tasks queued"
         );
         let mut first = None;
         for n in 0..=job.spec.tasks {
@@ -116,8 +116,7 @@
         }
     }
 
-    /// Counts a job for admission once it can run; while it awaits dependencies it isn't
-    /// counted.
+    /// Counts a job for admission once it can run; a job that awaits dependencies isn't counted.
     pub(super) fn count_as_admitted(&mut self, no: JobIndex, fresh: bool, now: f64) {
         let Some(job) = self.jobs.get(&no) else {
             return;
@@ -135,8 +134,8 @@
         }
     }
 
-    /// The state service holds this live job, at this revision of its record. A job that is known
-    /// already only gets the revision.
+    /// Adds a live job that the key-value store holds, with the revision of its record. If the job
+    /// is known already, only its revision is updated.
     pub fn add_job(&mut self, record: JobRecord, revision: u64, now: f64) {
         if let Some(job) = self.jobs.by_id_mut(&record.submission.id) {
             job.revision = revision;
@@ -151,9 +150,9 @@
         }
     }
 
-    /// Machine and task of each placement that belongs to this job, which isn't in the job table.
-    /// The ledger may place tasks of a job that was taken for ended: they may be on those machines
-    /// and must not be queued. Only placements without a live job are searched; they are few.
+    /// Machine and task of each placement of this job, which isn't in the job table. The ledger may
+    /// place tasks of a job that was believed to have ended: they may be on those machines and must
+    /// not be queued. Only placements without a live job are searched; they are few.
     fn placements_without_job(&self, id: &str) -> Vec<(String, u32)> {
         let mut placed: Vec<(String, u32)> = Vec::new();
         for (name, m) in &self.machines {
@@ -182,24 +181,24 @@
         }
     }
 
-    /// The state service holds these live jobs, whose records can't be read here; no others.
-    /// Their tasks on machines go on, until the end of the job is known.
+    /// Sets the live jobs whose records can't be read here, in place of those set before. Their
+    /// tasks on machines go on until the end of the job is known.
     pub fn set_unreadable_jobs(&mut self, ids: BTreeSet<String>) {
         self.jobs.set_unreadable(ids);
     }
 
-    /// Live jobs whose records can't be read here.
+    /// Ids of live jobs whose records can't be read here.
     pub fn unreadable_job_ids(&self) -> impl Iterator<Item = &String> {
         self.jobs.unreadable_ids()
     }
 
-    /// The job is done or cancelled: nothing of it is started any more, and what still runs
-    /// is stopped with the next responses to its workers.
+    /// Removes a job that is done or cancelled: none of its tasks is started any more, and those
+    /// that still run are stopped with the next responses to their workers.
     pub fn remove_job(&mut self, id: &str) {
         let Some((index, job)) = self.jobs.remove(id) else {
             return;
         };
-        crate::trace_job!(id, "is over for this leader");
+        crate::trace_job!(id, "removed from the leader's state");
         self.dependencies.remove(id);
         self.record_end_for_admission(&job);
         self.discard_stored_rows(id, &job);
@@ -208,7 +207,7 @@
         self.drop_planned_placements(index);
     }
 
-    /// Tells admission that the job is done or cancelled, if it was counted there.
+    /// Tells admission that the job is done or cancelled, if the job was counted there.
     fn record_end_for_admission(&mut self, job: &Job) {
         if job.awaiting_dependencies {
             return;
--- a/crates/control/src/leader/ledger.rs
+++ b/crates/control/src/leader/ledger.rs
@@ -1,13 +1,13 @@
-//! The placement ledger: what may be on a machine, written before it starts.
+//! The placement ledger: records each placement that may be on a machine before its task starts.
 //!
-//! It is a log. An entry holds the placements of one transaction, grouped into rows, and
-//! which earlier placements were freed since the last one; it is written once under a key of
-//! its own and never changed. The oldest entries are dropped once all of their placements are
-//! freed; where a few are left, these are written again in the newest entry, in the
-//! transaction that drops the old one. So a transaction costs about two changes, however many
-//! machines there are, and a write that is applied late can't overwrite a newer one.
+//! It is a log. An entry holds the placements of one transaction, grouped into rows, and lists
+//! which earlier placements were freed since the last entry; it is written once under a key of its
+//! own and never changed. The oldest entries are dropped once all of their placements are freed;
+//! where a few live placements are left, these are written again in the newest entry, in the
+//! transaction that drops the old one. A transaction therefore costs about two changes, however
+//! many machines there are, and a write that is applied late cannot overwrite a newer one.
 //!
-//! One ledger transaction is on its way at a time: the caller passes the outcome of a batch to
+//! One ledger transaction is in flight at a time: the caller passes the outcome of a batch to
 //! [`Leader::ledger_batch_done`] before it asks for the next.
 
 use super::*;
@@ -28,37 +28,37 @@
 use draft::Draft;
 use job_guards::JobGuards;
 
-/// An entry in the state service.
+/// A ledger entry in the key-value store.
 #[derive(Debug, Default)]
 pub(super) struct LedgerEntry {
     rows: Vec<LedgerRow>,
-    /// Its placements that are not freed.
+    /// The number of its placements that are not freed.
     live: u32,
 }
 
-/// The placement ledger as this leader knows it. Read and written in this module alone.
+/// The placement ledger as this leader knows it, read and written only in this module.
 #[derive(Debug, Default)]
 pub(super) struct PlacementLedger {
-    /// Entries in the state service, by number.
+    /// Entries in the key-value store, by number.
     entries: BTreeMap<u64, LedgerEntry>,
-    /// Entries written by this leader.
+    /// Counter in entry numbers: how many entries this leader has numbered.
     entries_written: u64,
-    /// Freed placements that no entry in the state service calls freed yet, oldest first.
+    /// Freed placements that no entry in the key-value store lists as freed yet, oldest first.
     freed: Vec<FreedPlacement>,
-    /// Placements that this leader has freed.
+    /// Counts of the placements that this leader has freed, by reason.
     freed_counts: FreedCounts,
-    /// A transaction of which it isn't known whether it was applied: no other ledger transaction
-    /// is made before its first entry was read.
+    /// A transaction of which it is unknown whether it was applied: no other ledger transaction is
+    /// made before the first entry of this one has been read.
     in_doubt: Option<LedgerBatch>,
 }
 
 impl PlacementLedger {
-    /// The number of each entry, and its placements that are not freed.
+    /// The number of each entry, with the number of its placements that are not freed.
     pub(super) fn live_placements(&self) -> impl Iterator<Item = (u64, u32)> {
         self.entries.iter().map(|(id, entry)| (*id, entry.live))
     }
 
-    /// What it holds and what was freed, for the log.
+    /// A summary of the entries, live placements and freed placements, for the log.
     pub(super) fn summary(&self) -> String {
         let live: u32 = self.entries.values().map(|entry| entry.live).sum();
         format!(
@@ -69,7 +69,7 @@
     }
 }
 
-/// Tasks `first..first + n` of one job on one machine, under one attempt.
+/// Tasks `first_task..first_task + task_count` of one job on one machine, under one attempt.
 #[derive(Debug, Clone, PartialEq)]
 struct LedgerRow {
     machine: String,
@@ -78,7 +78,7 @@
     task_count: u32,
 }
 
-/// A placement that was freed, and the entry that holds it.
+/// A freed placement and the entry that holds it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FreedPlacement {
     attempt: u64,
@@ -86,44 +86,45 @@
     ledger_entry: u64,
 }
 
-/// A ledger transaction on its way, and what it would make durable.
+/// A ledger transaction in flight, and what it would make durable.
 #[derive(Debug)]
 pub struct LedgerBatch {
-    /// What is to be committed.
+    /// The transaction to commit.
     pub txn: Txn,
-    /// Its entries, of consecutive numbers: all are written or none.
+    /// Its entries, with consecutive numbers: either all are written or none.
     entries: Vec<(u64, Vec<LedgerRow>)>,
-    /// Entries that it drops.
+    /// Numbers of the entries that it drops.
     dropped_entries: Vec<u64>,
     freed: Vec<FreedPlacement>,
 }
 
 impl LedgerBatch {
-    /// How many placements it holds.
+    /// Number of placements in its entries.
     fn placements(&self) -> u32 {
         let rows = self.entries.iter().flat_map(|(_, rows)| rows);
         rows.map(|row| row.task_count).sum()
     }
 
-    /// The key that tells whether it was written.
+    /// The key of its first entry; reading it shows whether the transaction was applied.
     fn key(&self) -> String {
         keys::ledger(self.entries.first().map_or(0, |e| e.0))
     }
 }
 
-/// How much of what is planned on a machine a draft took.
+/// How many of a machine's planned placements a draft accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DraftedPart {
-    /// All of it.
+    /// All of them.
     All,
     /// All but placements of jobs that have to wait.
     AllButWaiting,
-    /// What came before the first placement that the transaction has no room for.
+    /// Those before the first placement that the transaction has no room for.
     UntilFull,
 }
 
 impl Leader {
-    /// The guard of every transaction of this leader: none is applied once the leader key changed.
+    /// The guard of every transaction of this leader: none is applied once the leader key has
+    /// changed.
     pub fn leader_guard(&self) -> Guard {
         Guard {
             key: keys::LEADER.into(),
@@ -131,10 +132,10 @@
         }
     }
 
-    /// A placement was freed: the next entry says so.
+    /// Records that a placement was freed, so that the next entry lists it.
     pub(super) fn mark_freed(&mut self, p: &Placement, reason: FreeReason) {
         self.ledger.freed_counts.add(reason);
-        // One in a transaction without an answer is noted as freed by `record_written`.
+        // A placement of a transaction without a response is noted as freed by `record_written`.
         if p.ledger_entry == 0 {
             return;
         }
@@ -148,8 +149,9 @@
         });
     }
 
-    /// The next ledger transaction, if placements wait for one or the log can be shortened
-    /// for a good reason. None while the last one is in doubt.
+    /// The next ledger transaction, if placements wait for one, or if enough entries can be dropped
+    /// or enough freed placements listed to justify a write. `None` while the last transaction is
+    /// in doubt.
     pub fn ledger_batch(&mut self) -> Option<LedgerBatch> {
         if self.ledger.in_doubt.is_some() {
             return None;
@@ -161,7 +163,7 @@
         let mut guards = JobGuards::new(self.leader_guard(), ops);
         let freed = self.draft_freed(&mut draft);
         self.draft_planned(&mut draft, &mut guards);
-        // What compaction writes again is no reason for a transaction by itself.
+        // Placements that compaction writes again do not justify a transaction by themselves.
         let has_new_placements = draft.rows() > 0;
         let dropped_entries = self.compact_oldest_entries(&mut draft, ops);
         let worthwhile = dropped_entries.len() >= limits::LOG_DROPS_WORTH_A_WRITE
@@ -172,8 +174,9 @@
         Some(self.assemble_batch(draft, guards.into_guards(), dropped_entries, freed))
     }
 
-    /// Adds what was freed. It goes before new placements: a task that is placed again is then
-    /// never live in the log twice. Returns the placements that the draft calls freed.
+    /// Adds the freed placements to the draft. They precede new placements, so a task that is
+    /// placed again is never live in the log twice. Returns the placements that the draft lists as
+    /// freed.
     fn draft_freed(&mut self, draft: &mut Draft) -> Vec<FreedPlacement> {
         let entries = &self.ledger.entries;
         let freed = &mut self.ledger.freed;
@@ -195,8 +198,8 @@
         }
     }
 
-    /// Adds the planned placements of one machine. What the draft takes is in `Writing` from
-    /// here on, and nothing else is.
+    /// Adds the planned placements of one machine. From then on exactly the placements that the
+    /// draft accepted are in `Writing`.
     fn draft_planned_on(
         &mut self,
         name: &str,
@@ -213,8 +216,8 @@
                 continue;
             }
             let job = placement.job.and_then(|index| self.jobs.get(&index));
-            // The last check: nothing of a job starts before all that it needs is known
-            // to be done, however it came to be planned.
+            // The last check: no task of a job starts before all jobs that it depends on are known
+            // to be done, however the placement came to be planned.
             let must_wait = job.is_some_and(|job| {
                 job.awaiting_dependencies || self.keys_to_reread.contains(&keys::job(&job.spec.id))
             });
@@ -233,7 +236,8 @@
         part
     }
 
-    /// The transaction of a draft: its entries under new numbers, and the deletion of old ones.
+    /// Builds the transaction of a draft: its entries under new numbers, and the deletion of old
+    /// ones.
     fn assemble_batch(
         &mut self,
         draft: Draft,
@@ -247,7 +251,7 @@
             self.ledger.entries_written += 1;
             let id = (self.term << limits::TERM_SHIFT_BITS) | self.ledger.entries_written;
             let key = keys::ledger(id);
-            // The key is new: an entry is written once or not at all.
+            // The guard requires that the key is absent: an entry is written once or not at all.
             guards.push(Guard {
                 key: key.clone(),
                 revision: 0,
@@ -270,19 +274,20 @@
         }
     }
 
-    /// Number of entries above which what is left of the oldest is written again. It falls as
-    /// values get larger, so that a failover reads about as many bytes in each case.
+    /// Number of entries above which the remaining live placements of the oldest are written again.
+    /// It falls as the maximum size of a value rises, so that a failover reads about as many bytes
+    /// in each case.
     fn max_entries(&self) -> usize {
         let bytes = limits::LOG_ENTRIES_TARGET * limits::LOG_ENTRY_BYTES;
         let most = bytes / self.store_limits.value_bytes.max(1);
         most.clamp(limits::LOG_ENTRIES_TARGET, limits::LOG_ENTRIES_MAX)
     }
 
-    /// The oldest entries that can be dropped: those without a live placement and, while there
-    /// are too many, those whose live placements fit the draft, to which they are added. Of an
-    /// entry whose live placements don't all fit, as many as fit are written again, and it
-    /// stays. Always from the oldest on: an entry's list of freed placements is about older
-    /// entries, so it is needed for as long as those are there.
+    /// Returns the oldest entries that can be dropped: those without a live placement and, while
+    /// there are too many entries, those whose live placements fit the draft, to which they are
+    /// added. If not all live placements of an entry fit, as many as fit are written again, and the
+    /// entry stays. Entries are always dropped from the oldest on: an entry's list of freed
+    /// placements refers to older entries, so it is needed for as long as those exist.
     fn compact_oldest_entries(&self, draft: &mut Draft, ops: usize) -> Vec<u64> {
         let mut drops: Vec<u64> = Vec::new();
         let mut carried = 0;
@@ -330,13 +335,13 @@
 }
 
 impl LedgerRow {
-    /// Whether the placement is one of the row's tasks under its attempt.
+    /// Whether the placement is of one of the row's tasks and under its attempt.
     fn covers(&self, p: &Placement) -> bool {
         p.attempt == self.attempt
             && (self.first_task..self.first_task + self.task_count).contains(&p.task_index)
     }
 
-    /// Whether this row of `entry` is what holds the placement in the ledger.
+    /// Whether this row of `entry` holds the placement in the ledger.
     fn is_recorded_in(&self, p: &Placement, entry: u64) -> bool {
         p.ledger_entry == entry && p.stage == PlacementStage::Durable && self.covers(p)
     }
--- a/crates/control/src/leader/ledger/draft.rs
+++ b/crates/control/src/leader/ledger/draft.rs
@@ -1,4 +1,4 @@
-//! Entries of the ledger being put together, within the sizes that the state service takes.
+//! Ledger entries under construction, within the size limits of the key-value store.
 
 use super::{
     FreedPlacement, LedgerRow, LoggedJob, LoggedMachineClass, LoggedPlacement, PlacementLogRecord,
@@ -6,7 +6,7 @@
 };
 use crate::leader::*;
 
-/// An entry being put together.
+/// An entry under construction.
 #[derive(Default)]
 pub(super) struct Page {
     pub(super) value: PlacementLogRecord,
@@ -14,14 +14,14 @@
     bytes: usize,
 }
 
-/// Entries being put together, each within the size of a value.
+/// Entries under construction, each within the size limit of a value.
 pub(super) struct Draft {
     pub(super) pages: Vec<Page>,
-    /// Bytes that one entry may have.
+    /// Maximum size of one entry, bytes.
     most: usize,
-    /// Bytes that are left for all entries of the transaction.
+    /// Bytes that are left in the transaction, for all entries together.
     pub(super) left: usize,
-    /// Entries that the transaction may have.
+    /// Maximum number of entries in the transaction.
     pub(super) pages_max: usize,
 }
 
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The page that has room for so many more bytes, a new one if the last is full; None if
-    /// the transaction is full.
+    /// The entry that has room for this many more bytes: the last one, or a new one if that is
+    /// full. `None` if the transaction is full.
     fn room(&mut self, bytes: usize) -> Option<&mut Page> {
         if bytes > self.left {
             return None;
@@ -52,7 +52,7 @@
         self.pages.last_mut()
     }
 
-    /// Adds freed placements, as many as fit half of the transaction; returns how many.
+    /// Adds freed placements, as many as fit half of the transaction; returns how many were added.
     pub(super) fn free(&mut self, freed: &[FreedPlacement]) -> usize {
         let half = self.left / 2;
         for (n, f) in freed.iter().enumerate() {
@@ -71,7 +71,7 @@
         freed.len()
     }
 
-    /// Adds one placement; consecutive tasks under one attempt share a row. False if the
+    /// Adds one placement; consecutive tasks under one attempt share a row. Returns false if the
     /// transaction is full.
     pub(super) fn add(&mut self, machine: &str, m: &Machine, p: &Placement) -> bool {
         let id = parse_task_id(&p.task_id).map_or("", |(job, _)| job);
@@ -115,7 +115,7 @@
             json_size(&job) + 1,
             json_size(&row) + 3,
         );
-        // Where the last page has its job and machine class already, only the row takes room.
+        // If the last entry already has the job and the machine class, only the row takes room.
         let known = self.pages.last().map_or((false, false), |page| {
             let jobs = page.value.jobs.iter().any(|j| j.id == id);
             (page.value.machine_classes.contains(&place), jobs)
@@ -166,7 +166,7 @@
         true
     }
 
-    /// Rows of all pages.
+    /// Number of rows in all entries.
     pub(super) fn rows(&self) -> usize {
         self.pages.iter().map(|p| p.rows.len()).sum()
     }
--- a/crates/control/src/leader/ledger/job_guards.rs
+++ b/crates/control/src/leader/ledger/job_guards.rs
@@ -7,13 +7,13 @@
 pub(super) struct JobGuards {
     guards: Vec<Guard>,
     guarded: HashSet<JobIndex>,
-    /// Guards that the jobs may have.
+    /// Maximum number of guards, the leader's and those of jobs.
     most: usize,
 }
 
 impl JobGuards {
-    /// The leader's guard, in a transaction of at most `changes` changes: half of them may be
-    /// new entries, which have a guard each.
+    /// Starts with the leader's guard, for a transaction of at most `changes` changes: half of them
+    /// may be new entries, which have a guard each.
     pub(super) fn new(leader: Guard, changes: usize) -> JobGuards {
         JobGuards {
             guards: vec![leader],
@@ -22,13 +22,13 @@
         }
     }
 
-    /// Whether a placement of this job may be added: its first needs a guard.
+    /// Whether a placement of this job may be added: the first placement of each job needs a guard.
     pub(super) fn have_room_for(&self, job: Option<JobIndex>, draft: &Draft) -> bool {
         let is_guarded = job.is_none_or(|index| self.guarded.contains(&index));
         is_guarded || self.guards.len() < self.most && draft.left > limits::GUARD_BYTES
     }
 
-    /// Guards the job's record, if it isn't yet.
+    /// Adds a guard for the job's record, unless there is one.
     pub(super) fn add(&mut self, index: JobIndex, job: &Job, draft: &mut Draft) {
         if !self.guarded.insert(index) {
             return;
@@ -40,7 +40,7 @@
         });
     }
 
-    /// All guards.
+    /// The collected guards.
     pub(super) fn into_guards(self) -> Vec<Guard> {
         self.guards
     }
--- a/crates/control/src/leader/ledger/outcome.rs
+++ b/crates/control/src/leader/ledger/outcome.rs
@@ -1,11 +1,10 @@
-//! What became of the ledger's transactions: written, not written, or in doubt until the
-//! entry is read.
+//! Outcomes of ledger transactions: applied, not applied, or in doubt until the entry is read.
 
 use super::{FreedPlacement, LedgerBatch, LedgerEntry};
 use crate::leader::*;
 
 impl Leader {
-    /// What became of a ledger transaction.
+    /// Handles the outcome of a ledger transaction.
     pub fn ledger_batch_done(&mut self, batch: LedgerBatch, outcome: &WriteOutcome) {
         let own = batch.key();
         debug!(
@@ -23,12 +22,13 @@
                 self.record_unwritten(batch);
                 self.note_conflict(failed);
             }
-            // Not in doubt: what the state service refuses it hasn't executed. When refusals
-            // counted as unknown, an outage left hundreds of keys to be read again.
+            // A refused transaction is not in doubt: the key-value store has not executed it.
+            // Treating refusals as unknown would leave hundreds of keys to be read again after an
+            // outage.
             WriteOutcome::Refused => self.record_unwritten(batch),
-            // Unknown, or a conflict on its own key, which an earlier try may have written:
-            // reading the entry tells. Its placements start only after that, and no other
-            // ledger transaction is made meanwhile.
+            // The outcome is unknown, or the conflict is on the transaction's own key, which an
+            // earlier try may have written: reading the entry decides. Its placements start only
+            // after that, and no other ledger transaction is made meanwhile.
             _ => {
                 info!(
                     key = own,
@@ -41,8 +41,8 @@
         }
     }
 
-    /// The batch was applied: its placements are durable and may start, and the entries that it
-    /// drops and the freed placements that it lists are done with.
+    /// Records that the batch was applied: its placements are durable and may start; the entries
+    /// that it drops, and the freed placements that it lists, are removed from memory.
     fn record_written(&mut self, batch: LedgerBatch) {
         for (id, rows) in batch.entries {
             let mut entry = LedgerEntry::default();
@@ -50,14 +50,14 @@
                 let m = self.machines.get_mut(&row.machine);
                 let mut held: HashSet<u32> = HashSet::new();
                 for p in m.into_iter().flat_map(|m| m.placements.iter_mut()) {
-                    // A placement of an older entry, which this one holds again.
+                    // A placement of an older entry that this entry holds again.
                     let again = p.stage == PlacementStage::Durable && p.ledger_entry < id;
                     if (p.stage != PlacementStage::Durable || again) && row.covers(p) {
                         crate::trace_job!(
                             p.task_id,
                             machine = row.machine,
                             entry = id,
-                            "in the ledger"
+                            "written to the ledger"
                         );
                         if again && let Some(old) = self.ledger.entries.get_mut(&p.ledger_entry) {
                             old.live = old.live.saturating_sub(1);
@@ -68,7 +68,7 @@
                     }
                 }
                 entry.live += held.len() as u32;
-                // Freed while its write was on its way.
+                // These placements were freed while their write was in flight.
                 for task in row.first_task..row.first_task + row.task_count {
                     if !held.contains(&task) {
                         self.ledger.freed.push(FreedPlacement {
@@ -90,8 +90,8 @@
             .drain(..batch.freed.len().min(self.ledger.freed.len()));
     }
 
-    /// The batch was not applied: its placements are planned again, or dropped if their job is
-    /// over.
+    /// Records that the batch was not applied: its placements are planned again, or dropped if
+    /// their job is over.
     fn record_unwritten(&mut self, batch: LedgerBatch) {
         let mut dropped = Vec::new();
         for row in batch.entries.iter().flat_map(|e| &e.1) {
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Guards on these keys failed: the leader is deposed if its own key is among them, and the
-    /// others are to be read again.
+    /// Handles failed guards on these keys: the leader is deposed if its own key is among them, and
+    /// the other keys are to be read again.
     pub(in crate::leader) fn note_conflict(&mut self, failed: &[String]) {
         for key in failed {
             if key == keys::LEADER {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A key was read again; `mark` is its revision, 0 if it is gone.
+    /// Handles the result of reading a key again; `mark` is its revision, 0 if the key is gone.
     pub fn reread_done(&mut self, key: &str, mark: u64) {
         self.keys_to_reread.remove(key);
         if key.starts_with(keys::LEDGER) {
@@ -140,9 +140,9 @@
                     written = mark > 0,
                     "ledger transaction no longer in doubt"
                 );
-                // If it is still written after it was read as missing, it only repeats what the
-                // next entry holds: a new leader then counts placements that may not exist, and
-                // frees them on proof as usual.
+                // If the transaction is still applied after its entry was read as missing, it only
+                // repeats what the next entry holds: a new leader then counts placements that may
+                // not exist, and frees them on proof as usual.
                 if mark > 0 {
                     self.record_written(batch);
                 } else {
--- a/crates/control/src/leader/ledger/recovery.rs
+++ b/crates/control/src/leader/ledger/recovery.rs
@@ -1,11 +1,11 @@
-//! Failover: how a new leader recovers placements from the ledger.
+//! Recovery of placements from the ledger by a new leader.
 
 use super::{LedgerEntry, LedgerRow, LogReplay, LoggedPlacement, PlacementLogRecord};
 use crate::leader::*;
 
 impl Leader {
-    /// Recovers the placements that the replay of the entries shows as live. `entries` are
-    /// sorted, the oldest first. The last leader may act for `overlap_s` from now.
+    /// Recovers the placements that the replay of the entries shows as live. `entries` are sorted,
+    /// the oldest first. The previous leader may still act for `overlap_s` from now.
     pub(in crate::leader) fn recover_ledger(
         &mut self,
         entries: Vec<(u64, PlacementLogRecord)>,
@@ -24,7 +24,7 @@
                     first_task: first,
                     task_count: n,
                 });
-                // The replay has checked that the entry has both.
+                // The replay has checked that the entry has both indices.
                 let (place, job) = (&v.machine_classes[place], &v.jobs[job]);
                 for task in first..first.saturating_add(n) {
                     if !replay.is_live_in(id, attempt, task) {
@@ -64,8 +64,8 @@
                         let mut m = Machine::new(&place.machine_type, &place.zone, place.spot, now);
                         m.known_from_ledger = true;
                         m.cached_images = self.take_image_hints(&name, now);
-                        // The last leader may have extended shard leases until the end of
-                        // its overlap with this one.
+                        // The previous leader may have extended shard leases until the end of its
+                        // overlap with this one.
                         m.grants_expire_at = now + overlap_s + self.timing.shard_lease_bound_s();
                         self.machines.insert(name.clone(), m);
                     }
--- a/crates/control/src/leader/ledger/replay.rs
+++ b/crates/control/src/leader/ledger/replay.rs
@@ -1,14 +1,15 @@
-//! Which placements the entries of a log hold: the one rule for all that is recovered from it.
+//! Replay of the ledger: determines which placements the entries of a log hold. All recovery from
+//! the ledger uses this one rule.
 
 use super::{LoggedPlacement, PlacementLogRecord};
 use crate::keys;
 use rustc_hash::FxHashMap;
 
-/// An attempt and the index of a task: what names a placement in the log.
+/// An attempt and the index of a task, which together identify a placement in the log.
 type LoggedTask = (u64, u32);
 
-/// A ledger entry in which a placement refers to a job or to a machine class that the entry
-/// doesn't have: what it places isn't known.
+/// The error for a ledger entry in which a placement refers to a job or to a machine class that the
+/// entry doesn't have, so that what it places is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "{}: the placement on {machine} refers to job {job} of {jobs} and machine class \
@@ -22,11 +23,11 @@
     pub machine: String,
     /// Index of its job.
     pub job: usize,
-    /// How many jobs the entry has.
+    /// Number of jobs in the entry.
     pub jobs: usize,
     /// Index of its machine class.
     pub machine_class: usize,
-    /// How many machine classes the entry has.
+    /// Number of machine classes in the entry.
     pub machine_classes: usize,
 }
 
@@ -35,22 +36,23 @@
 pub(in crate::leader) struct LogReplay {
     /// The newest entry that holds each of them.
     live_in: FxHashMap<LoggedTask, u64>,
-    /// How many were called freed.
+    /// Number of placements that entries list as freed.
     freed: usize,
 }
 
 impl LogReplay {
-    /// Replays entries with their numbers, the oldest first.
+    /// Replays numbered entries, the oldest first.
     ///
     /// # Errors
     ///
-    /// [`InvalidLedgerEntry`] for the first entry that isn't whole.
+    /// [`InvalidLedgerEntry`] for the first entry with a reference to a job or machine class that
+    /// it doesn't have.
     pub(in crate::leader) fn new(
         entries: &[(u64, PlacementLogRecord)],
     ) -> Result<LogReplay, InvalidLedgerEntry> {
         let mut replay = LogReplay::default();
         for (entry, record) in entries {
-            // First, since they speak of older entries alone.
+            // Freed placements come first, since they refer only to older entries.
             for task in &record.freed {
                 replay.freed += usize::from(replay.live_in.remove(task).is_some());
             }
@@ -63,19 +65,19 @@
         Ok(replay)
     }
 
-    /// How many placements were called freed.
+    /// Number of live placements that a later entry lists as freed.
     pub(in crate::leader) fn freed(&self) -> usize {
         self.freed
     }
 
-    /// Whether this entry is what holds the placement: the newest that does, and no later one
-    /// calls it freed.
+    /// Whether this entry holds the placement: it is the newest entry that does, and no later one
+    /// lists the placement as freed.
     pub(in crate::leader) fn is_live_in(&self, entry: u64, attempt: u64, task_index: u32) -> bool {
         self.live_in.get(&(attempt, task_index)) == Some(&entry)
     }
 }
 
-/// Checks that an entry has the job and the machine class that a placement of it refers to.
+/// Checks that an entry has the job and the machine class that one of its placements refers to.
 fn check_references(
     entry: u64,
     record: &PlacementLogRecord,
--- a/crates/control/src/leader/machine.rs
+++ b/crates/control/src/leader/machine.rs
@@ -1,5 +1,5 @@
-//! A machine as the leader knows it: what the cloud lists, what its worker's heartbeats
-//! prove, what may be placed on it, and whether it is on its way out.
+//! A machine as the leader knows it: its entry in the cloud's list, the state that its worker's
+//! heartbeats prove, what may be placed on it, and whether it is to be removed.
 
 use super::failures::JobFailures;
 use super::machine_placements::MachinePlacements;
@@ -10,16 +10,16 @@
 use cherrywood_wire::agent::TaskStatus;
 use std::collections::{HashMap, HashSet};
 
-/// An image that a machine has, or is fetching.
+/// An image that a machine holds or is fetching.
 #[derive(Debug)]
 pub(super) struct CachedImage {
     /// Hash of the image's name.
     pub(super) id: u64,
     /// Its size, GB.
     pub(super) size_gb: f64,
-    /// When the fetch is over, or was, s.
+    /// When the image fetch ends or ended, s.
     pub(super) ready_at: f64,
-    /// When a task that uses it was last placed, s; the least recently used goes first.
+    /// When a task that uses it was last placed, s; the least recently used image is evicted first.
     pub(super) last_used_at: f64,
 }
 
@@ -37,79 +37,80 @@
 pub(super) struct Machine {
     /// Name of its type in the cloud's list of types.
     pub(super) machine_type: String,
-    /// The zone that it is in.
+    /// Its zone.
     pub(super) zone: String,
-    /// A spot instance: the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub(super) spot: bool,
-    /// Its worker has sent this leader a heartbeat.
+    /// Whether its worker has sent this leader a heartbeat.
     pub(super) up: bool,
-    /// The worker's incarnation of its newest heartbeat.
+    /// Incarnation of its worker in the newest heartbeat.
     pub(super) incarnation: u64,
-    /// Sequence number of its newest heartbeat, within the incarnation.
+    /// Sequence number of the newest heartbeat, within the incarnation.
     pub(super) heartbeat_seq: u64,
-    /// The controller that may answer its heartbeats.
+    /// The controller that may respond to its heartbeats.
     pub(super) shard_owner: String,
-    /// The newest fencing token given for it; 0 before the first.
+    /// The newest fencing token issued for it; 0 before the first.
     pub(super) fencing_token: u64,
-    /// When every shard lease of it has expired, those of an earlier leader included if the ledger
-    /// places anything on it, s.
+    /// When every shard lease of it has expired, s; leases of an earlier leader are included if the
+    /// ledger places anything on it.
     pub(super) grants_expire_at: f64,
-    /// When it was last heard from, s.
+    /// When its newest heartbeat was accepted; before the first, when this leader learned of it, s.
     pub(super) last_heartbeat_at: f64,
-    /// When it was rented, as far as is known, s.
+    /// When it was rented, as far as known, s.
     pub(super) created_at: f64,
     /// When the cloud's list first named it, s.
     pub(super) first_listed_at: Option<f64>,
-    /// The newest list calls it booting; the list lags, so it may be up.
+    /// Whether the newest list shows it booting; the list lags, so it may be up.
     pub(super) listed_as_booting: bool,
-    /// Rented by this leader: `created_at` is exact.
+    /// Whether this leader rented it, so that `created_at` is exact.
     pub(super) rented_this_term: bool,
-    /// That its boot is overdue was logged.
+    /// Whether its overdue boot was logged.
     pub(super) overdue_boot_logged: bool,
-    /// A spot notice: s until the machine is taken, as of the newest heartbeat.
+    /// A spot notice: time until the machine is reclaimed, as of the newest heartbeat, s.
     pub(super) spot_notice_s: Option<f64>,
-    /// When the notice said that the machine would be taken, s.
+    /// When the machine is to be reclaimed according to the notice, s.
     pub(super) reclaim_at: Option<f64>,
-    /// Where its worker takes direct commands.
+    /// The address at which its worker accepts direct commands.
     pub(super) address: String,
-    /// Task ids and attempts whose direct start has no answer yet. The worker isn't told to
+    /// Task ids and attempts whose direct start has no response yet. The worker isn't told to
     /// forget them: the start could arrive after the forget and run the task again.
     pub(super) unanswered_starts: HashSet<(String, u64)>,
-    /// What may run on it.
+    /// The placements that may run on it.
     pub(super) placements: MachinePlacements,
-    /// The ledger that this leader read names it.
+    /// Whether the ledger that this leader read names it.
     pub(super) known_from_ledger: bool,
-    /// Its images, in no order.
+    /// Its images, in no particular order.
     pub(super) cached_images: Vec<CachedImage>,
-    /// Since when nothing is placed on it, s.
+    /// The time since which nothing is placed on it, s.
     pub(super) idle_since: f64,
-    /// Since when its heartbeats have shown no newer fencing token although responses carry one,
-    /// s; None if responses reach it.
+    /// The time since which its heartbeats have shown no newer fencing token although responses
+    /// carry one, s; `None` if responses reach it.
     pub(super) commands_unacknowledged_since: Option<f64>,
-    /// The highest token that a heartbeat of it showed.
+    /// The highest token that one of its heartbeats showed.
     pub(super) acknowledged_token: u64,
-    /// The first token given after its worker was found to have restarted; 0 if it never was.
+    /// The first token issued after its worker was found to have restarted; 0 if it never was.
     pub(super) incarnation_first_token: u64,
-    /// Whether its worker is to be asked for its status, to find out whether it restarted.
+    /// Whether its worker is to be queried for its status, to find out whether it restarted.
     pub(super) reconciliation_query: ReconciliationQuery,
     /// When stops were last sent to it directly because its heartbeats stay away, s.
     pub(super) last_stop_sent_at: f64,
-    /// That responses don't reach it was logged.
+    /// Whether it was logged that responses don't reach it.
     pub(super) unreachable_logged: bool,
-    /// Nothing more is placed here: a spot notice, or a machine that fails tasks.
+    /// Whether nothing more is placed on it, because of a spot notice or because tasks fail on it.
     pub(super) cordoned: bool,
-    /// Being emptied because the other machines have room; undone when they don't any more.
+    /// Whether it is being emptied because the other machines have room; undone when they no longer
+    /// do.
     pub(super) scaling_in: bool,
-    /// To be deleted, or being deleted.
+    /// Whether it is to be deleted, or is being deleted.
     pub(super) deleting: bool,
-    /// Its newest heartbeat lists a task that must be stopped at once.
+    /// Whether its newest heartbeat lists a task that must be stopped at once.
     pub(super) lists_unwanted_task: bool,
-    /// Ids of jobs whose tasks failed here since one last succeeded here.
+    /// Failures by id of job, of tasks that failed here since one last succeeded here.
     pub(super) failures_by_job: HashMap<String, JobFailures>,
 }
 
 impl Machine {
-    /// A machine that this leader has just learned of, and not heard from yet.
+    /// A machine that this leader has just learned of, and has not heard from yet.
     pub(super) fn new(machine_type: &str, zone: &str, spot: bool, now: f64) -> Machine {
         Machine {
             machine_type: machine_type.to_string(),
@@ -149,7 +150,7 @@
         }
     }
 
-    /// What its placements hold.
+    /// The resources that its placements hold.
     pub(super) fn used_resources(&self) -> Resources {
         let sums = self.placements.sums();
         Resources {
@@ -165,15 +166,16 @@
         placements.position(|p| p.attempt == task.attempt && p.task_id == task.task)
     }
 
-    /// Was it heard from lately, and do responses reach it? Only such a machine takes work.
+    /// Whether its newest heartbeat is recent and responses reach it. Only such a machine takes
+    /// work.
     pub(super) fn is_reachable(&self, now: f64, settings: &Settings) -> bool {
         let fresh_s = limits::MISSED_HEARTBEATS_MAX * settings.workers.report_s;
         now - self.last_heartbeat_at <= fresh_s && !self.is_partitioned_one_way(now, settings)
     }
 
-    /// Have responses not reached its worker for so long that none is expected to? A heartbeat
-    /// shows at best the token of the response to the one before it, and a worker counts a higher
-    /// token as new at most once in half a lease (protocol): hence the patience.
+    /// Whether responses have failed to reach its worker for so long that none is expected to. A
+    /// heartbeat shows at best the token of the response to the one before it, and a worker counts
+    /// a higher token as new at most once in half a lease (protocol): hence the threshold.
     pub(super) fn is_partitioned_one_way(&self, now: f64, settings: &Settings) -> bool {
         let workers = &settings.workers;
         let patience_s = limits::UNACKNOWLEDGED_HEARTBEATS_MAX * workers.report_s
--- a/crates/control/src/leader/machine_placements.rs
+++ b/crates/control/src/leader/machine_placements.rs
@@ -1,7 +1,7 @@
 //! The placements on one machine, with sums over them.
 //!
-//! A placement pass asks every machine several times for its sums, while few machines have
-//! changed since the last pass. So the sums are kept until a placement may have changed.
+//! A placement pass reads the sums of every machine several times, while few machines have changed
+//! since the last pass. So the sums are cached until a placement may have changed.
 
 use super::placement::{EvictionState, Placement};
 use std::cell::Cell;
@@ -19,13 +19,13 @@
     pub(super) evicting_cpus: f64,
     /// Whether a placement is best effort.
     pub(super) has_best_effort: bool,
-    /// Whether a placement doesn't run yet.
+    /// Whether a placement isn't running.
     pub(super) has_not_running: bool,
     /// Whether a start or a graceful stop is to be sent to the worker as a direct command.
     pub(super) has_due_command: bool,
 }
 
-/// What may be on one machine, in the order in which it was placed.
+/// The placements that may be on one machine, in the order in which they were made.
 #[derive(Debug, Default)]
 pub(super) struct MachinePlacements {
     placements: Vec<Placement>,
@@ -34,7 +34,8 @@
 }
 
 impl MachinePlacements {
-    /// Takes out the placements for which the condition holds; the others keep their order.
+    /// Removes and returns the placements for which the condition holds; the others keep their
+    /// order.
     pub(super) fn take_if(&mut self, condition: impl Fn(&Placement) -> bool) -> Vec<Placement> {
         if !self.placements.iter().any(&condition) {
             return Vec::new();
@@ -55,7 +56,7 @@
         sums
     }
 
-    /// The sums, computed anew.
+    /// The sums, recomputed.
     pub(super) fn compute_sums(&self) -> PlacementSums {
         let mut sums = PlacementSums::default();
         for placement in &self.placements {
@@ -86,7 +87,7 @@
     }
 }
 
-/// Mutable access drops the sums, since any placement may change through it.
+/// Mutable access invalidates the sums, since any placement may change through it.
 impl DerefMut for MachinePlacements {
     fn deref_mut(&mut self) -> &mut Vec<Placement> {
         self.sums.set(None);
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -1,10 +1,9 @@
-//! The leading controller: live jobs and their dependencies, the placement ledger, shard
-//! leases, the pending queue and its scheduler, admission, and the autoscaler.
+//! The leading controller: live jobs and their dependencies, the placement ledger, shard leases,
+//! the pending queue and its scheduler, admission, and the autoscaler.
 //!
-//! Everything here is a cache of the state service plus what heartbeats have shown. All rules
-//! rest on one invariant: a task has at most one placement that has not been freed on proof
-//! that it no longer runs, and a placement is in the state service before its `start` leaves
-//! this process.
+//! All state here is a cache of the key-value store plus what heartbeats have shown. All rules rest
+//! on one invariant: a task has at most one placement that has not been freed on proof that it no
+//! longer runs, and a placement is in the key-value store before its `start` leaves this process.
 
 use crate::keys;
 use crate::{LeaseTiming, Settings};
@@ -80,30 +79,30 @@
     Delete(Vec<String>),
 }
 
-/// The state of the leading controller, in one part for each concern; events and the time go
-/// in, transactions, commands and cloud requests come out.
+/// The state of the leading controller, with one component for each concern; events and the time go
+/// in, and transactions, commands and cloud requests come out.
 ///
-/// Nothing that it does may depend on the order of a hash map: the replay of a simulation or
-/// of an incident must be identical to the byte.
+/// Nothing that it does may depend on the order of a hash map: the replay of a simulation or of an
+/// incident must be identical to the byte.
 #[derive(Debug)]
 pub struct Leader {
     /// The term in which it leads.
     term: u64,
     /// Revision of the leader key: the guard of every transaction.
     leader_revision: u64,
-    /// Fencing tokens and attempts given in this term, numbered together.
+    /// Fencing tokens and attempts issued in this term, numbered together.
     tokens_issued: u64,
     settings: Settings,
     /// How long leases last.
     pub timing: LeaseTiming,
     /// When it began to lead, s.
     term_started_at: f64,
-    /// Time of day less this leader's clock, s.
+    /// Time of day minus this leader's clock, s.
     wall_clock_offset_s: f64,
     machine_types: Vec<MachineType>,
     jobs: JobTable,
     machines: BTreeMap<String, Machine>,
-    /// Machines deleted for certain, and when, s: heartbeats in their name are stale.
+    /// Machines that are certainly deleted, and when, s: heartbeats in their name are stale.
     deleted_machines: HashMap<String, f64>,
     ledger: PlacementLedger,
     quota_usage: QuotaUsage,
@@ -112,8 +111,8 @@
     delayed_tasks: Vec<(f64, JobIndex, u32)>,
     /// Machines with placements that are not yet in the ledger.
     machines_to_record: BTreeSet<String>,
-    /// By machine name, the images that an earlier leader knew to be on machines which this one
-    /// has not learned of yet.
+    /// The images that an earlier leader knew to be on machines of which this leader has not
+    /// learned yet, by machine name.
     image_cache_hints: HashMap<String, Vec<ImageHint>>,
     scheduler: SchedulerState,
     predictor: Predictor,
@@ -121,24 +120,24 @@
     /// When the CPUs that are up were last recorded for admission, s.
     capacity_sampled_at: f64,
     autoscaler: Autoscaler,
-    /// Keys whose revisions must be read again before anything that rests on them is written.
+    /// Keys whose revisions must be read again before anything that depends on them is written.
     pub keys_to_reread: BTreeSet<String>,
-    /// The leader key has changed: this leader must not act any more.
+    /// Whether the leader key has changed, so that this leader must not act any more.
     pub deposed: bool,
-    /// The limits of the state service to keep to.
+    /// The limits of the key-value store that transactions keep to.
     store_limits: StoreLimits,
     dependencies: Dependencies,
-    /// Keys in the state service that nobody needs any more; job transactions delete them.
+    /// Obsolete keys in the key-value store; job transactions delete them.
     obsolete_keys: BTreeSet<String>,
 }
 
 impl Leader {
-    /// A leader for the term `epoch`, whose leader key has the revision `mark`, with the state
-    /// that it read in the state service.
+    /// Creates a leader for the term `epoch`, whose leader key has the revision `mark`, from the
+    /// state that it read in the key-value store.
     ///
     /// # Errors
     ///
-    /// [`InvalidLedgerEntry`] if what the ledger places isn't known: nobody may lead then.
+    /// [`InvalidLedgerEntry`] if what the ledger places is unknown: no controller may lead then.
     pub fn new(
         epoch: u64,
         mark: u64,
@@ -189,8 +188,9 @@
         Ok(leader)
     }
 
-    /// Is its term new, with most of the workers that it knows of still to be heard? Their leases
-    /// may be about to expire, so their heartbeats are served before users' requests.
+    /// Whether its term is new and most of the workers that it knows of have not been heard from
+    /// yet. Their leases may be about to expire, so their heartbeats are served before users'
+    /// requests.
     pub fn is_settling(&self, now: f64) -> bool {
         let (mut known, mut heard) = (0.0, 0.0);
         for m in self
@@ -217,7 +217,7 @@
         (self.term << limits::TERM_SHIFT_BITS) | self.tokens_issued
     }
 
-    /// Machine, task and attempt of everything that may be on a machine.
+    /// Machine, task and attempt of each placement that may be on a machine.
     pub fn placements_held(&self) -> BTreeSet<(String, String, u64)> {
         let of = |(name, m): (&String, &Machine)| {
             let name = name.clone();
@@ -234,12 +234,12 @@
         ids
     }
 
-    /// Is it a live job of this leader?
+    /// Whether this leader has a live job of this id.
     pub fn has_live_job(&self, id: &str) -> bool {
         self.jobs.index_of(id).is_some()
     }
 
-    /// Every transaction from now on keeps to these limits.
+    /// Sets the limits that every later transaction keeps to.
     pub fn set_store_limits(&mut self, kept: StoreLimits) {
         self.store_limits = kept;
     }
@@ -254,7 +254,7 @@
         quota::record_placement(&mut self.quota_usage, &mut self.jobs, p, zone);
     }
 
-    /// Takes a placement that was freed, or dropped before it was written, out of the same counts.
+    /// Removes a placement that was freed, or dropped before it was written, from the same counts.
     fn record_release(&mut self, p: &Placement, zone: &str) {
         quota::record_release(&mut self.quota_usage, &mut self.jobs, p, zone);
     }
--- a/crates/control/src/leader/placement.rs
+++ b/crates/control/src/leader/placement.rs
@@ -8,12 +8,12 @@
 use super::parse_task_id;
 use crate::resources::Resources;
 
-/// How far a placement has come on its way into the ledger.
+/// The stage of a placement on its way into the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PlacementStage {
     /// Not yet in the ledger.
     Planned,
-    /// In a ledger transaction that has no answer yet.
+    /// In a ledger transaction that has no response yet.
     Writing,
     /// In the ledger: its start may be sent.
     Durable,
@@ -22,12 +22,12 @@
 /// Whether a task has been told to save a checkpoint and end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum EvictionState {
-    /// No.
+    /// No eviction was requested.
     NotRequested,
-    /// Decided, and the stop has not been sent yet.
+    /// An eviction was requested, and the stop has not been sent yet.
     Pending,
-    /// The stop was sent at this time, s; it is sent again while heartbeats show the task
-    /// running on.
+    /// The stop was sent at this time, s; it is sent again while heartbeats show that the task
+    /// still runs.
     Sent(f64),
 }
 
@@ -36,28 +36,29 @@
 pub(super) struct Placement {
     /// `job/index`, as the protocol names the task.
     pub(super) task_id: String,
-    /// Its job; None if a new leader found it in the ledger without a live job.
+    /// Its job; `None` if a new leader found the placement in the ledger without a live job.
     pub(super) job: Option<JobIndex>,
     /// The task's index within the job.
     pub(super) task_index: u32,
-    /// Numbered together with fencing tokens; the tasks of one group share it.
+    /// The attempt number, from the counter that also issues fencing tokens; the tasks of one group
+    /// share it.
     pub(super) attempt: u64,
-    /// Incarnation of the worker that it was placed on.
+    /// Incarnation of the worker on which it was placed.
     pub(super) incarnation: u64,
-    /// How far it is on its way into the ledger.
+    /// Its stage on the way into the ledger.
     pub(super) stage: PlacementStage,
     /// Number of the ledger entry that holds it; 0 while there is none.
     pub(super) ledger_entry: u64,
-    /// Recovered from the ledger of an earlier term, or placed before a restart of its worker: its
-    /// start is never sent again.
+    /// Whether it was recovered from the ledger of an earlier term, or placed before a restart of
+    /// its worker: its start is never sent again.
     pub(super) from_previous_term: bool,
-    /// Sequence number of the heartbeat whose response carried its start last.
+    /// Sequence number of the last heartbeat whose response carried its start.
     pub(super) start_sent_seq: Option<u64>,
-    /// How often its start was sent.
+    /// Number of times that its start was sent.
     pub(super) start_attempts: u32,
-    /// A heartbeat has listed it.
+    /// Whether a heartbeat has listed it.
     pub(super) acknowledged: bool,
-    /// The last heartbeat shows it running.
+    /// Whether the last heartbeat shows it running.
     pub(super) running: bool,
     /// When `running` last changed, s.
     pub(super) running_since: f64,
@@ -71,14 +72,14 @@
     pub(super) gpus: f64,
     /// Memory that it holds, GB.
     pub(super) memory_gb: f64,
-    /// Runs on idle capacity and may be preempted by other work.
+    /// Whether it runs on idle capacity and may be preempted by other work.
     pub(super) best_effort: bool,
     /// Whether it has been told to save a checkpoint and end.
     pub(super) eviction: EvictionState,
 }
 
 impl Placement {
-    /// What it holds.
+    /// The resources that it holds.
     pub(super) fn request(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -87,17 +88,18 @@
         }
     }
 
-    /// No start of it was ever sent: it runs nowhere.
+    /// Whether no start of it was ever sent, so that it runs nowhere.
     pub(super) fn never_sent(&self) -> bool {
         self.start_attempts == 0 && !self.acknowledged && !self.from_previous_term
     }
 
-    /// Is its job missing from the table? It is over, or its record can't be read.
+    /// Whether its job is missing from the table, because the job is over or its record can't be
+    /// read.
     pub(super) fn lacks_job(&self, jobs: &JobTable) -> bool {
         self.job.is_none_or(|job| !jobs.contains_key(&job))
     }
 
-    /// Is its job over, or unknown? Then it may not go on.
+    /// Whether its job is over or unknown, so that it may not go on.
     pub(super) fn job_is_over(&self, jobs: &JobTable) -> bool {
         let is_unreadable =
             || parse_task_id(&self.task_id).is_some_and(|(id, _)| jobs.is_unreadable(id));
--- a/crates/control/src/leader/progress.rs
+++ b/crates/control/src/leader/progress.rs
@@ -1,4 +1,4 @@
-//! The finished tasks of jobs as the state service holds them: one record for a job, or
+//! The finished tasks of jobs as the key-value store holds them: one record for each job, or
 //! several parts where a bitmap is too large for one value.
 
 use super::Leader;
@@ -14,26 +14,27 @@
 /// Parts by number, with the bytes of their bitmaps.
 pub(super) type PartBytes = Vec<(u32, Vec<u8>)>;
 
-/// Tasks of a part.
+/// Number of tasks in a part.
 pub(super) const PART_TASKS: u32 = limits::PROGRESS_CHUNK_BYTES as u32 * 8;
 
-/// A part as the state service holds it.
+/// A part as the key-value store holds it.
 #[derive(Debug, Default)]
 struct StoredPart {
     revision: u64,
-    /// Bytes of its bitmap; empty if they are not known.
+    /// Bytes of its bitmap; empty if unknown.
     bytes: Vec<u8>,
 }
 
-/// What the state service holds of a job's progress, by part.
+/// The parts of a job's progress that the key-value store holds.
 #[derive(Debug, Default)]
 pub(super) struct StoredProgress {
     parts: BTreeMap<u32, StoredPart>,
 }
 
 impl StoredProgress {
-    /// The records of a job that an earlier leader wrote, and all tasks that they call
-    /// finished. A bit is never taken back, so records of different ages and sizes add up.
+    /// Restores the records of a job that an earlier leader wrote; returns them with all tasks that
+    /// they list as finished. A bit is never cleared, so records of different ages and sizes add
+    /// up.
     pub(super) fn recover(records: Vec<ProgressPart>, tasks: u32) -> (StoredProgress, Bitmap) {
         let mut done = Bitmap::default();
         let mut stored = StoredProgress::default();
@@ -54,27 +55,27 @@
         self.parts.get(&part).map_or(0, |stored| stored.revision)
     }
 
-    /// A part is stored at this revision.
+    /// Records that a part is stored at this revision.
     pub(super) fn record_written(&mut self, part: u32, revision: u64, bytes: Vec<u8>) {
         self.parts.insert(part, StoredPart { revision, bytes });
     }
 
-    /// A part was found at this revision; 0 if it is gone. What it holds isn't known any
-    /// more, so it is written again.
+    /// Records that a part was found at this revision, 0 if it is gone. Its contents are then
+    /// unknown, so it is written again.
     pub(super) fn set_revision(&mut self, part: u32, revision: u64) {
         let stored = self.parts.entry(part).or_default();
         stored.revision = revision;
         stored.bytes.clear();
     }
 
-    /// Numbers of its parts beside the first.
+    /// Numbers of the stored parts after the first.
     fn later_parts(&self) -> impl Iterator<Item = u32> {
         self.parts.keys().copied().filter(|part| *part > 0)
     }
 
-    /// Parts to write, with their bytes: the whole if its record fits `max_whole_bytes`,
-    /// else those parts that changed, the first one last. Part 0 may still hold the whole: the
-    /// other parts are written before it shrinks to its own tasks, so nothing is lost between.
+    /// The parts to write, with their bytes: the whole bitmap if its record fits `max_whole_bytes`,
+    /// else the parts that changed, the first one last. Part 0 may still hold the whole bitmap: the
+    /// other parts are written before it shrinks to its own tasks, so nothing is lost in between.
     pub(super) fn parts_to_write(&self, done: &Bitmap, max_whole_bytes: usize) -> PartBytes {
         let whole = done.chunk(0, usize::MAX).unwrap_or_default();
         let record = ProgressRecord {
@@ -94,7 +95,7 @@
     }
 }
 
-/// Must a part of the job's progress be read again?
+/// Whether a part of the job's progress must be read again.
 pub(super) fn must_be_reread(keys_to_reread: &BTreeSet<String>, id: &str) -> bool {
     let key = keys::progress(id);
     let mut following = keys_to_reread.range(key.clone()..);
@@ -102,8 +103,8 @@
 }
 
 impl Leader {
-    /// The job is over: nobody needs the later parts of its progress, or the chunks of its
-    /// submission, any more. The other records go with its final state.
+    /// Marks the later parts of the progress of a job that is over, and the chunks of its
+    /// submission, as obsolete. Its other records are deleted with the write of its final state.
     pub(super) fn discard_stored_rows(&mut self, id: &str, job: &Job) {
         let parts = job.stored_progress.later_parts();
         let keys = parts.map(|part| keys::progress_part(id, part));
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Keys in the state service that nobody needs, found while it was read: they are
-    /// deleted when nothing else is to be written.
+    /// Adds obsolete keys that were found while the key-value store was read: they are deleted when
+    /// nothing else is to be written.
     pub fn add_obsolete_keys(&mut self, keys: impl IntoIterator<Item = String>) {
         self.obsolete_keys.extend(keys);
     }
--- a/crates/control/src/leader/recovery.rs
+++ b/crates/control/src/leader/recovery.rs
@@ -1,4 +1,5 @@
-//! Failover: what a new leader reads from the state service, and how it becomes its state.
+//! Failover: the state that a new leader reads from the key-value store, and how the leader's state
+//! is built from it.
 
 use super::Leader;
 use super::ledger::{InvalidLedgerEntry, LogReplay};
@@ -10,25 +11,25 @@
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// What a new leader reads before it acts.
+/// The state that a new leader reads before it acts.
 #[derive(Debug, Default)]
 pub struct RecoveredState {
     /// Time of day, ms since 1970.
     pub wall_clock_ms: u64,
-    /// s for which the last leader may still act, although its key is gone: an earlier
-    /// process of this one's name whose lease was ended early and not waited for.
+    /// Time for which the previous leader may still act although its key is gone, s: this applies
+    /// to an earlier process of the same name, whose lease was ended early and not waited for.
     pub overlap_s: f64,
     /// Live jobs and the revisions of their records.
     pub jobs: Vec<(JobRecord, u64)>,
     /// Ids of live jobs whose records can't be read.
     pub unreadable_jobs: BTreeSet<String>,
-    /// Progress records: their keys without the prefix, and their revisions.
+    /// Progress records, each with its key without the prefix and its revision.
     pub progress: Vec<(String, ProgressRecord, u64)>,
     /// Ledger entries by number, the oldest first.
     pub ledger: Vec<(u64, PlacementLogRecord)>,
     /// Learned run times.
     pub histograms: Option<HistogramsRecord>,
-    /// Which images are on which machines.
+    /// The images on each machine.
     pub images: Option<ImageCacheRecord>,
     /// State of the admission controller.
     pub admission: Option<AdmissionValue>,
@@ -37,28 +38,29 @@
 /// A stored part of a job's progress.
 #[derive(Debug)]
 pub(super) struct ProgressPart {
-    /// Its number; 0 is the whole, or the first of several.
+    /// Its number; 0 is the whole bitmap, or the first of several parts.
     pub(super) part: u32,
-    /// What is stored.
+    /// The stored record.
     pub(super) record: ProgressRecord,
     /// Revision of the record.
     pub(super) revision: u64,
 }
 
 impl Leader {
-    /// Takes in what was read, in an order that matters: jobs before the ledger, whose
-    /// placements refer to them, and image hints before the machines that the ledger names.
+    /// Builds the leader's state from what was read. The order matters: jobs come before the
+    /// ledger, whose placements refer to them, and image hints before the machines that the ledger
+    /// names.
     ///
     /// # Errors
     ///
-    /// [`InvalidLedgerEntry`] if what the ledger places isn't known.
+    /// [`InvalidLedgerEntry`] if what the ledger places is unknown.
     pub(super) fn recover(
         &mut self,
         from: RecoveredState,
         now: f64,
     ) -> Result<(), InvalidLedgerEntry> {
         let mut progress = progress_by_job(from.progress);
-        // Needed before any job is taken in: tasks that may be on a machine are not queued.
+        // Needed before any job is inserted: tasks that may be on a machine are not queued.
         let replay = LogReplay::new(&from.ledger)?;
         let placed = placed_tasks_by_job(&from.ledger, &replay);
         let mut jobs = from.jobs;
@@ -68,8 +70,8 @@
             let saved = progress.remove(&id).unwrap_or_default();
             self.insert_job(record, revision, saved, placed.get(&id), now, false);
         }
-        // Progress records without a live job: of jobs that were cancelled, or that had several
-        // parts.
+        // Progress records without a live job belong to jobs that were cancelled, or that had
+        // several parts.
         progress.retain(|id, _| !from.unreadable_jobs.contains(id));
         for (id, parts) in progress {
             let keys = parts.iter().map(|p| keys::progress_part(&id, p.part));
@@ -102,7 +104,7 @@
     by_job
 }
 
-/// Tasks of each job that the ledger places somewhere. The replay has checked its entries.
+/// The tasks of each job that the ledger places on a machine. The replay has checked the entries.
 fn placed_tasks_by_job(
     ledger: &[(u64, PlacementLogRecord)],
     replay: &LogReplay,
--- a/crates/control/src/leader/snapshots.rs
+++ b/crates/control/src/leader/snapshots.rs
@@ -1,5 +1,5 @@
-//! What the leader keeps for its successors beside jobs and ledger: learned run times, and
-//! which images are on which machines. A successor without them works, and relearns both.
+//! Snapshots that the leader stores for its successors beside jobs and ledger: learned run times,
+//! and the images on each machine. A successor without them works, and relearns both.
 
 use super::machine::CachedImage;
 use super::{ImageHint, Leader};
@@ -9,11 +9,11 @@
 use cherrywood_wire::records::{HistogramsRecord, ImageCacheRecord};
 use std::collections::BTreeMap;
 
-/// What a key of the histograms takes beside its texts, bytes, at most.
+/// Maximum size of a histogram key beside its texts, bytes.
 const KEY_BYTES: usize = 60;
-/// What a machine's name takes beside its text, bytes.
+/// Size of a machine's name beside its text, bytes.
 const NAME_BYTES: usize = 3;
-/// What an image takes beside its bitmap, bytes, at most.
+/// Maximum size of an image beside its bitmap, bytes.
 const IMAGE_BYTES: usize = 50;
 
 /// An image, and the machines that have it.
@@ -23,7 +23,7 @@
     machines: Bitmap,
 }
 
-/// What the state service holds of the predictor.
+/// Decodes the predictor's snapshot from its stored record.
 pub(super) fn predictor_snapshot(stored: &HistogramsRecord) -> PredictorSnapshot {
     let key =
         |(key, completions, censored_share, histogram): &(String, u64, f64, String)| KeySnapshot {
@@ -39,7 +39,7 @@
 }
 
 impl Leader {
-    /// The learned run times, as many keys as fit one value.
+    /// The learned run times, with as many keys as fit one value.
     pub fn histograms_snapshot(&self) -> HistogramsRecord {
         let PredictorSnapshot { pooled, keys } = self.predictor.snapshot();
         let keys = keys.into_iter();
@@ -58,9 +58,9 @@
         }
     }
 
-    /// Where images are: without it a new leader would have all of them fetched again. While a
-    /// controller of the previous version may become leader, it is limited to what one value
-    /// holds: that version can't read a value in chunks.
+    /// The images on each machine: without them a new leader would have all images fetched again.
+    /// While a controller of the previous version may become leader, the snapshot is limited to
+    /// what one value holds: that version can't read a value in chunks.
     pub fn image_snapshot(&self, now: f64) -> ImageCacheRecord {
         let max_bytes = match self.store_limits.chunks_enabled() {
             true => limits::IMAGE_CACHE_BYTES_MAX,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Keeps what the last leader knew of images until this one learns of their machines.
+    /// Keeps the previous leader's record of images until this leader learns of their machines.
     pub(super) fn recover_image_hints(&mut self, record: ImageCacheRecord) {
         let names = record.machine_names();
         for (id, size_gb, bits) in &record.images {
@@ -124,7 +124,7 @@
     }
 }
 
-/// The images on most machines matter most: as many as fit, as they are stored.
+/// The images on the most machines, as many as fit, in their stored form: these matter most.
 fn most_common_images(
     images: BTreeMap<u64, ImageOnMachines>,
     max_bytes: usize,
--- a/crates/control/src/leader/worker_restarts.rs
+++ b/crates/control/src/leader/worker_restarts.rs
@@ -1,25 +1,24 @@
 //! Reconciliation with workers that restarted under the name of their machine.
 //!
-//! The newest message of a worker has the largest incarnation and sequence number, as long
-//! as the worker counts on. One that was restarted begins at incarnation 1: its heartbeats
-//! look older than those from before, and would be dropped. So a machine whose heartbeats
-//! all look stale is asked for its status. The answer to a query that was sent after the
-//! newest heartbeat had arrived is newer than that heartbeat; if its numbers or its token
-//! are smaller, the worker restarted.
+//! The newest message of a worker has the largest incarnation and sequence number, as long as the
+//! worker counts on. A restarted worker begins at incarnation 1: its heartbeats look older than
+//! those from before, and would be dropped. So a machine whose heartbeats all look stale is queried
+//! for its status. The response to a query that was sent after the newest heartbeat had arrived is
+//! newer than that heartbeat; if its numbers or its token are smaller, the worker restarted.
 //!
-//! From then on nothing counts as proof before the machine has shown a token issued after
-//! the restart; once it has, heartbeats that show an older one are stale.
+//! From then on nothing counts as proof before the machine has shown a token issued after the
+//! restart; once it has, heartbeats that show an older token are stale.
 
 use super::*;
 
-/// Whether a machine whose heartbeats look stale is asked for its status.
+/// Whether a machine whose heartbeats look stale is queried for its status.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum ReconciliationQuery {
-    /// It isn't.
+    /// No query is needed.
     NotNeeded,
     /// A query is to be sent to this address.
     Due { address: String },
-    /// A query was sent at this time, and has no answer yet.
+    /// A query was sent at this time, and has no response yet.
     Sent { at: f64 },
 }
 
@@ -33,8 +32,8 @@
 }
 
 impl Machine {
-    /// Whether this heartbeat is no newer than one that was taken, or is from before the
-    /// worker restarted.
+    /// Whether this heartbeat is no newer than one that was accepted, or is from before the worker
+    /// restarted.
     pub(super) fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
         let has_shown_new_token = self.acknowledged_token >= self.incarnation_first_token;
         let is_same_incarnation = heartbeat.incarnation == self.incarnation;
@@ -44,8 +43,8 @@
         is_before_restart || (heartbeat.incarnation, heartbeat.sequence) <= newest
     }
 
-    /// Whether this status, newer than every heartbeat that was taken, shows that the worker
-    /// restarted since. Until a token issued after the last restart was shown, it may have
+    /// Whether this status, newer than every heartbeat that was accepted, shows that the worker has
+    /// restarted since. Until it has shown a token issued after the last restart, it may have
     /// restarted again.
     fn shows_restart(&self, status: &Heartbeat) -> bool {
         let newest = (self.incarnation, self.heartbeat_seq);
@@ -56,8 +55,8 @@
 }
 
 impl Leader {
-    /// A heartbeat that looks stale arrived. If no newer one has come for long, the worker is to
-    /// be asked for its status: either the heartbeat is late, or the worker restarted.
+    /// Handles a heartbeat that looks stale. If no newer one has arrived for long, the worker is to
+    /// be queried for its status: either the heartbeat is late, or the worker restarted.
     pub(super) fn query_status_if_silent(
         &self,
         machine: &mut Machine,
@@ -72,8 +71,8 @@
         }
     }
 
-    /// The workers to ask for their status now, `limits::DIRECT_CONTACT_MACHINES_MAX` at a time.
-    /// Each is returned once; `status_query_done` has to follow with the same time.
+    /// The workers to query for their status now, `limits::DIRECT_CONTACT_MACHINES_MAX` at a time.
+    /// Each is returned once; a call of `status_query_done` with the same time must follow.
     pub fn due_status_queries(&mut self, now: f64) -> Vec<StatusQuery> {
         let mut queries = Vec::new();
         for (name, machine) in &mut self.machines {
@@ -91,7 +90,7 @@
         queries
     }
 
-    /// The answer of a machine to the query sent at `sent_at`; `None` if there was none.
+    /// Handles the response of a machine to the query sent at `sent_at`; `None` if there was none.
     pub fn status_query_done(
         &mut self,
         name: &str,
@@ -110,16 +109,16 @@
         let Some(status) = status.filter(|status| status.machine == name) else {
             return;
         };
-        // A heartbeat that came meanwhile may be newer than the answer.
+        // A heartbeat that arrived meanwhile may be newer than the response.
         let is_newest = machine.last_heartbeat_at < sent_at;
         if is_newest && machine.shows_restart(status) {
             self.restart_worker(name, status, now);
         }
     }
 
-    /// The worker of this machine has restarted and forgotten its commands. Placements whose start
-    /// was never sent are freed at once; all others wait until its heartbeats show the new token,
-    /// and their starts are not sent again (`from_previous_term`).
+    /// Handles the restart of a machine's worker, which has forgotten its commands. Placements
+    /// whose start was never sent are freed at once; all others wait until its heartbeats show the
+    /// new token, and their starts are not sent again (`from_previous_term`).
     fn restart_worker(&mut self, name: &str, status: &Heartbeat, now: f64) {
         let token = self.next_token();
         let Some(machine) = self.machines.get_mut(name) else {
@@ -136,7 +135,7 @@
         machine.incarnation_first_token = token;
         machine.acknowledged_token = status.fencing_token;
         machine.commands_unacknowledged_since = None;
-        // Its next heartbeat says which controller answers it.
+        // Its next heartbeat determines which controller responds to it.
         machine.shard_owner = String::new();
         let zone = machine.zone.clone();
         let never_sent = machine.placements.take_if(Placement::never_sent);
