--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -102,24 +102,32 @@
     /// Releases a job once every job that it depends on is done: from now on its tasks are queued
     /// like any others.
     fn release_job(&mut self, id: &str, since: f64, now: f64) {
-        let Some(no) = self.jobs.index_of(id) else {
+        let Some(job_index) = self.jobs.index_of(id) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&no).filter(|j| j.awaiting_dependencies) else {
+        let Some(job) = self
+            .jobs
+            .get_mut(&job_index)
+            .filter(|j| j.awaiting_dependencies)
+        else {
             return;
         };
         job.awaiting_dependencies = false;
         job.ready_at = since.max(job.ready_at).min(now);
         crate::trace_job!(id, "ready: all dependencies are done");
-        let delayed = self.delayed_tasks.iter().filter(|d| d.1 == no).map(|d| d.2);
-        let away: HashSet<u32> = job
+        let delayed = self
+            .delayed_tasks
+            .iter()
+            .filter(|d| d.1 == job_index)
+            .map(|d| d.2);
+        let excluded: HashSet<u32> = job
             .placements_by_task
             .keys()
             .copied()
             .chain(delayed)
             .collect();
-        self.enqueue_tasks(no, &away, now);
-        self.count_as_admitted(no, true, now);
+        self.enqueue_tasks(job_index, &excluded, now);
+        self.count_as_admitted(job_index, true, now);
     }
 
     /// Derives the effective priority and latest start of each job from the jobs that depend on it:
@@ -143,17 +151,17 @@
         let derived = self.dependencies.graph.effective_requirements(run_s);
         let mut raised = Vec::new();
         for (id, d) in derived {
-            let Some(no) = self.jobs.index_of(id) else {
+            let Some(job_index) = self.jobs.index_of(id) else {
                 continue;
             };
-            let Some(job) = self.jobs.get_mut(&no) else {
+            let Some(job) = self.jobs.get_mut(&job_index) else {
                 continue;
             };
             job.latest_start = d.latest_start;
             job.effective_priority = d.priority;
             if job.best_effort && d.priority != Priority::Low {
                 job.best_effort = false;
-                raised.push(no);
+                raised.push(job_index);
             }
         }
         if raised.is_empty() {
@@ -161,11 +169,13 @@
         }
         // Their placements must not be preempted any more.
         for m in self.machines.values_mut() {
-            let own = |p: &Placement| p.best_effort && p.job.is_some_and(|no| raised.contains(&no));
-            if m.placements.sums().has_best_effort && m.placements.iter().any(own) {
+            let is_raised = |p: &Placement| {
+                p.best_effort && p.job.is_some_and(|job_index| raised.contains(&job_index))
+            };
+            if m.placements.sums().has_best_effort && m.placements.iter().any(is_raised) {
                 m.placements
                     .iter_mut()
-                    .filter(|p| own(p))
+                    .filter(|p| is_raised(p))
                     .for_each(|p| p.best_effort = false);
             }
         }
@@ -177,7 +187,7 @@
     pub(super) fn add_cascading_cancellations(
         &self,
         batch: &mut JobBatch,
-        ops: usize,
+        max_changes: usize,
         at_ms: Option<u64>,
     ) {
         for id in self.dependencies.cascading_cancellations.keys() {
@@ -185,7 +195,7 @@
             let Some(job) = job.filter(|_| !self.keys_to_reread.contains(&keys::job(id))) else {
                 continue;
             };
-            if batch.txn.changes.len() + 2 > ops {
+            if batch.txn.changes.len() + 2 > max_changes {
                 break;
             }
             batch.txn.guards.extend([
@@ -218,11 +228,12 @@
     /// Whether the cancellation of a job has been pending for so long that the job may not be shown
     /// as queued any more. It may take long if many other jobs are cancelled before it.
     fn is_overdue_for_cancellation(&self, id: &str, now: f64) -> bool {
-        let patience = self.settings.workers.cancel_s * limits::CASCADING_CANCELLATION_QUEUED_SHARE;
+        let threshold_s =
+            self.settings.workers.cancel_s * limits::CASCADING_CANCELLATION_QUEUED_SHARE;
         self.dependencies
             .cascading_cancellations
             .get(id)
-            .is_some_and(|at| now - at > patience)
+            .is_some_and(|pending_since| now - pending_since > threshold_s)
     }
 
     /// The counts of done and running tasks of a live job, for display; [`COUNTS_WITHHELD`] if
--- a/crates/control/src/leader/direct_commands.rs
+++ b/crates/control/src/leader/direct_commands.rs
@@ -123,8 +123,11 @@
                 self.tokens_issued += 1;
                 machine.fencing_token = (self.term << limits::TERM_SHIFT_BITS) | self.tokens_issued;
             }
-            let over = machine.placements.iter().filter(|p| p.may_run_on(jobs));
-            let commands = over
+            let of_ended_jobs = machine
+                .placements
+                .iter()
+                .filter(|p| p.may_run_after_job_end(jobs));
+            let commands = of_ended_jobs
                 .map(|p| immediate_stop(&p.task_id, p.attempt))
                 .collect();
             stops.push(machine.addressed_commands(name, commands));
@@ -148,7 +151,7 @@
     fn take_due_commands(&mut self, name: &str, jobs: &JobTable, now: f64) -> Vec<Command> {
         let mut commands = Vec::new();
         for placement in self.placements.iter_mut() {
-            let Some(job) = placement.job.and_then(|no| jobs.get(&no)) else {
+            let Some(job) = placement.job.and_then(|job_index| jobs.get(&job_index)) else {
                 continue;
             };
             if placement.incarnation != self.incarnation {
@@ -214,13 +217,16 @@
         let last_stop_s = now - self.last_stop_sent_at;
         has_address
             && silent_for_s.min(last_stop_s) > silent_s
-            && self.placements.iter().any(|p| p.may_run_on(jobs))
+            && self
+                .placements
+                .iter()
+                .any(|p| p.may_run_after_job_end(jobs))
     }
 }
 
 impl Placement {
     /// Whether the task may be running although its job is over.
-    fn may_run_on(&self, jobs: &JobTable) -> bool {
+    fn may_run_after_job_end(&self, jobs: &JobTable) -> bool {
         self.stage == PlacementStage::Durable && !self.never_sent() && self.job_is_over(jobs)
     }
 }
--- a/crates/control/src/leader/failures.rs
+++ b/crates/control/src/leader/failures.rs
@@ -56,7 +56,7 @@
         let Some(job) = job else {
             return 0.0;
         };
-        let first_there = job.failed_on.insert(name.to_string(), now).is_none();
+        let is_first_on_machine = job.failed_on.insert(name.to_string(), now).is_none();
         job.failure_count += 1;
         let failures = machine.failures_by_job.entry(job.spec.id.clone());
         let failures = failures.or_default();
@@ -67,7 +67,7 @@
         } else {
             0.0
         };
-        if job.is_suspect() && first_there {
+        if job.is_suspect() && is_first_on_machine {
             log_suspect(job);
         }
         job.retry_at = job.retry_at.max(now + pause_s);
--- a/crates/control/src/leader/freeing.rs
+++ b/crates/control/src/leader/freeing.rs
@@ -108,7 +108,10 @@
                 shown_token = context.shown_by.map(|shown| shown.fencing_token),
                 "task lost"
             );
-            if let Some(job) = placement.job.and_then(|no| self.jobs.get(&no)) {
+            if let Some(job) = placement
+                .job
+                .and_then(|job_index| self.jobs.get(&job_index))
+            {
                 let key = job.estimate_key.clone();
                 self.predictor.record_censored(&key, now);
             }
@@ -135,8 +138,8 @@
         );
         self.record_release(p, context.zone);
         self.mark_freed(p, context.reason);
-        let Some(no) = p.job else { return };
-        let Some(job) = self.jobs.get(&no) else {
+        let Some(job_index) = p.job else { return };
+        let Some(job) = self.jobs.get(&job_index) else {
             return;
         };
         // Another placement of the task may not be freed yet: until it is, the task must not be
@@ -148,11 +151,13 @@
             return;
         }
         if delay_s > 0.0 {
-            self.delayed_tasks.push((now + delay_s, no, p.task_index));
+            self.delayed_tasks
+                .push((now + delay_s, job_index, p.task_index));
         } else {
             let key = job.estimate_key.clone();
             let level = self.queue_level(&key, now);
-            self.pending_queue.push_front(level, no, p.task_index, now);
+            self.pending_queue
+                .push_front(level, job_index, p.task_index, now);
         }
     }
 }
--- a/crates/control/src/leader/heartbeat_commands.rs
+++ b/crates/control/src/leader/heartbeat_commands.rs
@@ -10,7 +10,7 @@
 /// A graceful stop is not repeated within this many times the length of
 /// `limits::MISSED_HEARTBEATS_MAX` heartbeats: the task may not have begun to save when the next
 /// ones were sent.
-const STOP_REPEAT_PATIENCE: f64 = 2.0;
+const STOP_REPEAT_FACTOR: f64 = 2.0;
 
 /// A stop that leaves the task time to save a checkpoint, if the task saves any.
 pub(super) fn graceful_stop(placement: &Placement, job: &Job) -> Command {
@@ -62,7 +62,14 @@
                 }
                 _ => match (machine.index_of(task), job) {
                     (Some(at), KnownJob::Live(job)) if !job.done.get(index) => {
-                        machine.move_if_due(at, task, job, heartbeat, &self.settings, now);
+                        machine.request_eviction_if_due(
+                            at,
+                            task,
+                            job,
+                            heartbeat,
+                            &self.settings,
+                            now,
+                        );
                         machine.graceful_stop_command(at, task, job, &self.settings, now)
                     }
                     (_, KnownJob::Unreadable) => None,
@@ -124,7 +131,7 @@
     /// Requests that a running task that saves checkpoints leaves the machine, either because the
     /// cloud is about to reclaim the machine or because the machine is being emptied and the task
     /// has run for long enough that saving is worth it.
-    fn move_if_due(
+    fn request_eviction_if_due(
         &mut self,
         at: usize,
         task: &TaskStatus,
@@ -138,7 +145,8 @@
             && job.spec.checkpoint_interval_s > 0.0
             && placement.eviction == EvictionState::NotRequested
             && (heartbeat.spot_notice_s.is_some()
-                || self.scaling_in && now - placement.running_since >= move_after_s(job, settings))
+                || self.scaling_in
+                    && now - placement.running_since >= min_run_before_eviction_s(job, settings))
         {
             self.placements[at].eviction = EvictionState::Pending;
         }
@@ -155,7 +163,7 @@
         now: f64,
     ) -> Option<Command> {
         let repeat_after_s =
-            STOP_REPEAT_PATIENCE * limits::MISSED_HEARTBEATS_MAX * settings.workers.report_s;
+            STOP_REPEAT_FACTOR * limits::MISSED_HEARTBEATS_MAX * settings.workers.report_s;
         let is_due = match self.placements[at].eviction {
             EvictionState::NotRequested => false,
             EvictionState::Pending => true,
@@ -226,7 +234,7 @@
 
 /// Time for which a task must have run before it is moved off a machine that is being emptied, s:
 /// more if an objective counts the start of its class, which moving it would undo.
-fn move_after_s(job: &Job, settings: &Settings) -> f64 {
+fn min_run_before_eviction_s(job: &Job, settings: &Settings) -> f64 {
     let mut objectives = settings.objectives.iter();
     match objectives.any(|o| o.kind == "wait" && o.class == job.spec.class) {
         true => limits::MOVE_COUNTED_START_AFTER_S,
--- a/crates/control/src/leader/heartbeats.rs
+++ b/crates/control/src/leader/heartbeats.rs
@@ -148,7 +148,10 @@
             crate::trace_job!(placement.task_id, machine = name, running, "reported");
             placement.running = running;
             placement.running_since = now;
-            if let Some(job) = placement.job.and_then(|no| self.jobs.get_mut(&no)) {
+            if let Some(job) = placement
+                .job
+                .and_then(|job_index| self.jobs.get_mut(&job_index))
+            {
                 job.running_tasks = match running {
                     true => job.running_tasks + 1,
                     false => job.running_tasks.saturating_sub(1),
@@ -170,7 +173,7 @@
         job: Option<JobIndex>,
         now: f64,
     ) {
-        let job = job.and_then(|no| self.jobs.get(&no));
+        let job = job.and_then(|job_index| self.jobs.get(&job_index));
         match machine.cached_images.iter_mut().find(|i| i.id == image) {
             Some(cached) => cached.ready_at = cached.ready_at.min(now),
             None => machine.cached_images.extend(job.map(|job| CachedImage {
@@ -219,8 +222,8 @@
     /// Records that a task ran to its end; returns its job if that wasn't known yet.
     fn record_done(&mut self, task: &str) -> Option<JobIndex> {
         let (id, index) = parse_task_id(task)?;
-        let no = self.jobs.index_of(id)?;
-        let job = self.jobs.get_mut(&no)?;
+        let job_index = self.jobs.index_of(id)?;
+        let job = self.jobs.get_mut(&job_index)?;
         let is_known = index >= job.spec.tasks || job.done.get(index);
         if job.spec.kind == JobKind::Service || is_known {
             return None;
@@ -229,8 +232,8 @@
         let median_s = self.predictor.median_s(&job.estimate_key);
         let run_s = scheduler::expected_run_s(median_s, job);
         self.admission.record_work(job.spec.cpus * run_s);
-        self.jobs.mark_dirty(no);
-        Some(no)
+        self.jobs.mark_dirty(job_index);
+        Some(job_index)
     }
 
     /// Frees placements that the heartbeat doesn't list and that no command can still start on the
--- a/crates/control/src/leader/job.rs
+++ b/crates/control/src/leader/job.rs
@@ -68,7 +68,7 @@
     /// The progress records in the key-value store.
     pub(super) stored_progress: progress::StoredProgress,
     /// The chunks of its submission, if the submission doesn't fit a single value.
-    pub(super) submission_parts: Option<ChunkSet>,
+    pub(super) submission_chunks: Option<ChunkSet>,
     /// A transaction with its progress or its final state has no response yet.
     pub(super) write_in_flight: bool,
     /// Class and team, for admission.
--- a/crates/control/src/leader/job_batch.rs
+++ b/crates/control/src/leader/job_batch.rs
@@ -195,7 +195,7 @@
         let at_ms = Some(self.wall_clock_ms(now));
         let mut builder = JobBatchBuilder::new(self.leader_guard(), max_changes);
         self.add_cascading_cancellations(&mut builder.batch, max_changes, at_ms);
-        let dirty = self.jobs.take_stock_of_dirty();
+        let dirty = self.jobs.prune_dirty();
         if builder.batch.cancelled_dependents.is_empty() {
             self.add_final_states(&mut builder, &dirty, at_ms);
             if progress_too && builder.batch.finals.is_empty() {
--- a/crates/control/src/leader/job_table.rs
+++ b/crates/control/src/leader/job_table.rs
@@ -130,7 +130,7 @@
 
     /// Returns the jobs with finished tasks that the key-value store lacks, oldest first. Jobs that
     /// lack nothing there by now, or that are over, are dropped from the set.
-    pub(super) fn take_stock_of_dirty(&mut self) -> Vec<JobIndex> {
+    pub(super) fn prune_dirty(&mut self) -> Vec<JobIndex> {
         let jobs = &self.jobs;
         let lacks_progress = |job: &Job| job.done.count() != job.persisted_done.count();
         self.dirty
--- a/crates/control/src/leader/jobs.rs
+++ b/crates/control/src/leader/jobs.rs
@@ -6,45 +6,48 @@
 use cherrywood_admission::{AdmittedJob, job_hash};
 
 impl Leader {
-    /// Inserts a live job whose record has the revision `mark`.
+    /// Inserts a live job; `revision` is that of its record.
     ///
-    /// `saved` are its progress records; `placed` are its tasks that have a placement, which are
-    /// not queued. `fresh` is true for a new submission and false for a recovered job; admission
-    /// counts the two differently.
+    /// `progress_records` are the job's progress records; `placed` are its tasks that have a
+    /// placement, which are not queued. `is_new` is true for a new submission and false for a
+    /// recovered job; admission counts the two differently.
     pub(super) fn insert_job(
         &mut self,
-        value: JobRecord,
-        mark: u64,
-        saved: Vec<ProgressPart>,
+        record: JobRecord,
+        revision: u64,
+        progress_records: Vec<ProgressPart>,
         placed: Option<&HashSet<u32>>,
         now: f64,
-        fresh: bool,
+        is_new: bool,
     ) -> JobIndex {
-        let at = (value.accepted_at_ms as f64 / 1000.0 - self.wall_clock_offset_s).min(now);
-        let apart = value.chunk_set();
-        let spec = value.into_submission();
-        let (stored, done) = progress::StoredProgress::recover(saved, spec.tasks);
+        let accepted_at =
+            (record.accepted_at_ms as f64 / 1000.0 - self.wall_clock_offset_s).min(now);
+        let submission_chunks = record.chunk_set();
+        let spec = record.into_submission();
+        let (stored_progress, done) =
+            progress::StoredProgress::recover(progress_records, spec.tasks);
         let key = spec.predictor_key();
-        let due_at = spec.deadline_s.map(|s| at + s);
+        let due_at = spec.deadline_s.map(|s| accepted_at + s);
         let ready = self.add_to_dependencies(&spec, due_at);
-        let since = self.dependencies.ready_since(&spec.id);
-        let of = self.settings.objectives.iter();
-        let aims = of.filter(|o| o.class == spec.class).filter_map(|o| {
-            let aim = match o.kind.as_str() {
+        let ready_since = self.dependencies.ready_since(&spec.id);
+        let class_objectives = self.settings.objectives.iter();
+        let class_objectives = class_objectives.filter(|o| o.class == spec.class);
+        let objectives = class_objectives.filter_map(|o| {
+            let kind = match o.kind.as_str() {
                 "finished" => ObjectiveKind::Finish,
                 "wait" => ObjectiveKind::Start,
                 _ => return None,
             };
-            Some((aim, o.within_s))
+            Some((kind, o.within_s))
         });
         // It is unknown when its tasks were placed: the current time is assumed, so that the job
         // doesn't count as starving.
         let on_machines = placed.is_some_and(|tasks| !tasks.is_empty());
-        let no = self.jobs.insert(Job {
+        let job_index = self.jobs.insert(Job {
             estimate_key_hash: stable_name_hash(&key),
             estimate_key: key,
             team_index: self.settings.teams.iter().position(|t| t.name == spec.team),
-            objectives: aims.collect(),
+            objectives: objectives.collect(),
             image_id: stable_name_hash(&spec.image),
             best_effort: spec.priority == Priority::Low
                 && !self
@@ -53,19 +56,19 @@
                     .iter()
                     .any(|o| o.class == spec.class),
             ready_at: if ready {
-                since.map_or(at, |s| s.max(at))
+                ready_since.map_or(accepted_at, |s| s.max(accepted_at))
             } else {
-                at
+                accepted_at
             },
             last_placed_at: if on_machines { now } else { f64::NEG_INFINITY },
             awaiting_dependencies: !ready,
             effective_priority: spec.priority,
             latest_start: None,
-            revision: mark,
+            revision,
             persisted_done: done.clone(),
             done,
-            stored_progress: stored,
-            submission_parts: apart,
+            stored_progress,
+            submission_chunks,
             write_in_flight: false,
             tenant_class: cherrywood_admission::tenant_class_id(&spec.team, &spec.class),
             placement_count: 0,
@@ -80,15 +83,16 @@
         });
         let none = HashSet::new();
         if ready {
-            self.enqueue_tasks(no, placed.unwrap_or(&none), now);
-            self.count_as_admitted(no, fresh, now);
+            self.enqueue_tasks(job_index, placed.unwrap_or(&none), now);
+            self.count_as_admitted(job_index, is_new, now);
         }
-        no
+        job_index
     }
 
-    /// Queues the job's tasks that are neither finished nor `away` (placed or delayed), as ranges.
-    pub(super) fn enqueue_tasks(&mut self, no: JobIndex, away: &HashSet<u32>, now: f64) {
-        let Some(job) = self.jobs.get(&no) else {
+    /// Queues the job's tasks that are neither finished nor `excluded` (placed or delayed), as
+    /// ranges.
+    pub(super) fn enqueue_tasks(&mut self, job_index: JobIndex, excluded: &HashSet<u32>, now: f64) {
+        let Some(job) = self.jobs.get(&job_index) else {
             return;
         };
         let level = match self.settings.policy.levels {
@@ -99,16 +103,16 @@
             job.spec.id,
             level,
             done = job.done.count(),
-            on_machines = away.len(),
+            on_machines = excluded.len(),
             "tasks queued"
         );
         let mut first = None;
         for n in 0..=job.spec.tasks {
-            let free = n < job.spec.tasks && !job.done.get(n) && !away.contains(&n);
-            match (free, first) {
+            let is_waiting = n < job.spec.tasks && !job.done.get(n) && !excluded.contains(&n);
+            match (is_waiting, first) {
                 (true, None) => first = Some(n),
                 (false, Some(f)) => {
-                    self.pending_queue.push_back(level, no, f..n, now);
+                    self.pending_queue.push_back(level, job_index, f..n, now);
                     first = None;
                 }
                 _ => {}
@@ -117,8 +121,8 @@
     }
 
     /// Counts a job for admission once it can run; a job that awaits dependencies isn't counted.
-    pub(super) fn count_as_admitted(&mut self, no: JobIndex, fresh: bool, now: f64) {
-        let Some(job) = self.jobs.get(&no) else {
+    pub(super) fn count_as_admitted(&mut self, job_index: JobIndex, is_new: bool, now: f64) {
+        let Some(job) = self.jobs.get(&job_index) else {
             return;
         };
         let spec = &job.spec;
@@ -128,7 +132,7 @@
             job: job_hash(&spec.id),
             work_cpu_s: self.expected_work(spec),
         };
-        match fresh {
+        match is_new {
             true => self.admission.record_admission(&admitted, now),
             false => self.admission.record_recovered_job(&admitted, now),
         }
@@ -156,9 +160,14 @@
     fn placements_without_job(&self, id: &str) -> Vec<(String, u32)> {
         let mut placed: Vec<(String, u32)> = Vec::new();
         for (name, m) in &self.machines {
-            let orphaned = |p: &&Placement| p.lacks_job(&self.jobs);
-            let own = |p: &&Placement| parse_task_id(&p.task_id).is_some_and(|(job, _)| job == id);
-            let tasks = m.placements.iter().filter(orphaned).filter(own);
+            let is_orphaned = |p: &&Placement| p.lacks_job(&self.jobs);
+            let belongs_to_job =
+                |p: &&Placement| parse_task_id(&p.task_id).is_some_and(|(job, _)| job == id);
+            let tasks = m
+                .placements
+                .iter()
+                .filter(is_orphaned)
+                .filter(belongs_to_job);
             placed.extend(tasks.map(|p| (name.clone(), p.task_index)));
         }
         placed
@@ -170,10 +179,10 @@
         else {
             return;
         };
-        let own = |p: &&mut Placement| {
+        let belongs_to_task = |p: &&mut Placement| {
             p.task_index == task && parse_task_id(&p.task_id).is_some_and(|(job, _)| job == id)
         };
-        let placements = m.placements.iter_mut().filter(own);
+        let placements = m.placements.iter_mut().filter(belongs_to_task);
         for p in placements.filter(|p| p.job != Some(index)) {
             p.job = Some(index);
             job.running_tasks += u32::from(p.running);
@@ -201,7 +210,7 @@
         crate::trace_job!(id, "removed from the leader's state");
         self.dependencies.remove(id);
         self.record_end_for_admission(&job);
-        self.discard_stored_rows(id, &job);
+        self.mark_records_obsolete(id, &job);
         self.pending_queue.retain_jobs(|job| *job != index);
         self.delayed_tasks.retain(|(_, job, _)| *job != index);
         self.drop_planned_placements(index);
--- a/crates/control/src/leader/ledger.rs
+++ b/crates/control/src/leader/ledger.rs
@@ -156,19 +156,19 @@
         if self.ledger.in_doubt.is_some() {
             return None;
         }
-        let ops = self.store_limits.txn_changes.max(2);
-        let most = self.store_limits.value_bytes.min(limits::TXN_BYTES_MAX);
+        let max_changes = self.store_limits.txn_changes.max(2);
+        let max_value_bytes = self.store_limits.value_bytes.min(limits::TXN_BYTES_MAX);
         // Half of the changes are left for the deletion of old entries.
-        let mut draft = Draft::new(most, ops / 2);
-        let mut guards = JobGuards::new(self.leader_guard(), ops);
+        let mut draft = Draft::new(max_value_bytes, max_changes / 2);
+        let mut guards = JobGuards::new(self.leader_guard(), max_changes);
         let freed = self.draft_freed(&mut draft);
         self.draft_planned(&mut draft, &mut guards);
         // Placements that compaction writes again do not justify a transaction by themselves.
         let has_new_placements = draft.rows() > 0;
-        let dropped_entries = self.compact_oldest_entries(&mut draft, ops);
-        let worthwhile = dropped_entries.len() >= limits::LOG_DROPS_WORTH_A_WRITE
+        let dropped_entries = self.compact_oldest_entries(&mut draft, max_changes);
+        let is_worthwhile = dropped_entries.len() >= limits::LOG_DROPS_WORTH_A_WRITE
             || freed.len() >= limits::LOG_FREED_WORTH_A_WRITE;
-        if !has_new_placements && !worthwhile {
+        if !has_new_placements && !is_worthwhile {
             return None;
         }
         Some(self.assemble_batch(draft, guards.into_guards(), dropped_entries, freed))
@@ -181,7 +181,7 @@
         let entries = &self.ledger.entries;
         let freed = &mut self.ledger.freed;
         freed.retain(|f| entries.contains_key(&f.ledger_entry));
-        let drafted = draft.free(freed);
+        let drafted = draft.add_freed(freed);
         freed[..drafted].to_vec()
     }
 
@@ -225,7 +225,9 @@
                 part = DraftedPart::AllButWaiting;
                 continue;
             }
-            if !guards.have_room_for(placement.job, draft) || !draft.add(name, machine, placement) {
+            if !guards.has_room_for(placement.job, draft)
+                || !draft.add_placement(name, machine, placement)
+            {
                 return DraftedPart::UntilFull;
             }
             if let (Some(index), Some(job)) = (placement.job, job) {
@@ -247,7 +249,7 @@
     ) -> LedgerBatch {
         let mut entries = Vec::new();
         let mut changes = Vec::new();
-        for page in draft.pages {
+        for drafted in draft.entries {
             self.ledger.entries_written += 1;
             let id = (self.term << limits::TERM_SHIFT_BITS) | self.ledger.entries_written;
             let key = keys::ledger(id);
@@ -258,10 +260,10 @@
             });
             changes.push(Change::Put {
                 key,
-                value: StoredRecord::PlacementLog(page.value),
+                value: StoredRecord::PlacementLog(drafted.record),
                 lease: None,
             });
-            entries.push((id, page.rows));
+            entries.push((id, drafted.rows));
         }
         changes.extend(dropped_entries.iter().map(|id| Change::Delete {
             key: keys::ledger(*id),
@@ -279,8 +281,8 @@
     /// in each case.
     fn max_entries(&self) -> usize {
         let bytes = limits::LOG_ENTRIES_TARGET * limits::LOG_ENTRY_BYTES;
-        let most = bytes / self.store_limits.value_bytes.max(1);
-        most.clamp(limits::LOG_ENTRIES_TARGET, limits::LOG_ENTRIES_MAX)
+        let max_entries = bytes / self.store_limits.value_bytes.max(1);
+        max_entries.clamp(limits::LOG_ENTRIES_TARGET, limits::LOG_ENTRIES_MAX)
     }
 
     /// Returns the oldest entries that can be dropped: those without a live placement and, while
@@ -288,49 +290,52 @@
     /// added. If not all live placements of an entry fit, as many as fit are written again, and the
     /// entry stays. Entries are always dropped from the oldest on: an entry's list of freed
     /// placements refers to older entries, so it is needed for as long as those exist.
-    fn compact_oldest_entries(&self, draft: &mut Draft, ops: usize) -> Vec<u64> {
-        let mut drops: Vec<u64> = Vec::new();
-        let mut carried = 0;
-        let most = self.max_entries();
+    fn compact_oldest_entries(&self, draft: &mut Draft, max_changes: usize) -> Vec<u64> {
+        let mut dropped_entries: Vec<u64> = Vec::new();
+        let mut rewritten_entries = 0;
+        let max_entries = self.max_entries();
         for (id, e) in &self.ledger.entries {
-            let used = draft.pages.len() + drops.len();
-            if used >= ops
-                || drops.len() >= limits::LOG_DROPPED_ENTRIES_MAX.max(2 * draft.pages.len())
+            let used = draft.entries.len() + dropped_entries.len();
+            if used >= max_changes
+                || dropped_entries.len()
+                    >= limits::LOG_DROPPED_ENTRIES_MAX.max(2 * draft.entries.len())
             {
                 break;
             }
             if e.live > 0 {
-                let many = self.ledger.entries.len() + draft.pages.len() - drops.len() > most;
-                if !many || carried >= limits::LOG_REWRITTEN_ENTRIES_MAX {
+                let has_too_many = self.ledger.entries.len() + draft.entries.len()
+                    - dropped_entries.len()
+                    > max_entries;
+                if !has_too_many || rewritten_entries >= limits::LOG_REWRITTEN_ENTRIES_MAX {
                     break;
                 }
-                draft.pages_max = ops - drops.len() - 1;
-                let mut whole = true;
+                draft.max_entries = max_changes - dropped_entries.len() - 1;
+                let mut all_fit = true;
                 'rows: for row in &e.rows {
                     let Some(m) = self.machines.get(&row.machine) else {
                         continue;
                     };
-                    let mut held: Vec<&Placement> = m
+                    let mut live_placements: Vec<&Placement> = m
                         .placements
                         .iter()
                         .filter(|p| row.is_recorded_in(p, *id))
                         .collect();
-                    held.sort_by_key(|p| p.task_index);
-                    for p in held {
-                        if !draft.add(&row.machine, m, p) {
-                            whole = false;
+                    live_placements.sort_by_key(|p| p.task_index);
+                    for p in live_placements {
+                        if !draft.add_placement(&row.machine, m, p) {
+                            all_fit = false;
                             break 'rows;
                         }
                     }
                 }
-                if !whole {
+                if !all_fit {
                     break;
                 }
-                carried += 1;
+                rewritten_entries += 1;
             }
-            drops.push(*id);
+            dropped_entries.push(*id);
         }
-        drops
+        dropped_entries
     }
 }
 
--- a/crates/control/src/leader/ledger/job_guards.rs
+++ b/crates/control/src/leader/ledger/job_guards.rs
@@ -8,24 +8,25 @@
     guards: Vec<Guard>,
     guarded: HashSet<JobIndex>,
     /// Maximum number of guards, the leader's and those of jobs.
-    most: usize,
+    max_guards: usize,
 }
 
 impl JobGuards {
     /// Starts with the leader's guard, for a transaction of at most `changes` changes: half of them
     /// may be new entries, which have a guard each.
-    pub(super) fn new(leader: Guard, changes: usize) -> JobGuards {
+    pub(super) fn new(leader_guard: Guard, changes: usize) -> JobGuards {
         JobGuards {
-            guards: vec![leader],
+            guards: vec![leader_guard],
             guarded: HashSet::new(),
-            most: (changes * limits::store::GUARDS_PER_CHANGE).saturating_sub(changes / 2 + 1),
+            max_guards: (changes * limits::store::GUARDS_PER_CHANGE)
+                .saturating_sub(changes / 2 + 1),
         }
     }
 
     /// Whether a placement of this job may be added: the first placement of each job needs a guard.
-    pub(super) fn have_room_for(&self, job: Option<JobIndex>, draft: &Draft) -> bool {
+    pub(super) fn has_room_for(&self, job: Option<JobIndex>, draft: &Draft) -> bool {
         let is_guarded = job.is_none_or(|index| self.guarded.contains(&index));
-        is_guarded || self.guards.len() < self.most && draft.left > limits::GUARD_BYTES
+        is_guarded || self.guards.len() < self.max_guards && draft.bytes_left > limits::GUARD_BYTES
     }
 
     /// Adds a guard for the job's record, unless there is one.
@@ -33,7 +34,7 @@
         if !self.guarded.insert(index) {
             return;
         }
-        draft.left = draft.left.saturating_sub(limits::GUARD_BYTES);
+        draft.bytes_left = draft.bytes_left.saturating_sub(limits::GUARD_BYTES);
         self.guards.push(Guard {
             key: keys::job(&job.spec.id),
             revision: job.revision,
--- a/crates/control/src/leader/ledger/outcome.rs
+++ b/crates/control/src/leader/ledger/outcome.rs
@@ -6,9 +6,9 @@
 impl Leader {
     /// Handles the outcome of a ledger transaction.
     pub fn ledger_batch_done(&mut self, batch: LedgerBatch, outcome: &WriteOutcome) {
-        let own = batch.key();
+        let first_key = batch.key();
         debug!(
-            key = own,
+            key = first_key,
             entries = batch.entries.len(),
             placements = batch.placements(),
             freed = batch.freed.len(),
@@ -18,7 +18,7 @@
         );
         match outcome {
             WriteOutcome::Applied(_) => self.record_written(batch),
-            WriteOutcome::Conflict(failed) if !failed.contains(&own) => {
+            WriteOutcome::Conflict(failed) if !failed.contains(&first_key) => {
                 self.record_unwritten(batch);
                 self.note_conflict(failed);
             }
@@ -31,11 +31,11 @@
             // after that, and no other ledger transaction is made meanwhile.
             _ => {
                 info!(
-                    key = own,
+                    key = first_key,
                     placements = batch.placements(),
                     "ledger transaction in doubt: its entry is read"
                 );
-                self.keys_to_reread.insert(own);
+                self.keys_to_reread.insert(first_key);
                 self.ledger.in_doubt = Some(batch);
             }
         }
@@ -48,29 +48,31 @@
             let mut entry = LedgerEntry::default();
             for row in &rows {
                 let m = self.machines.get_mut(&row.machine);
-                let mut held: HashSet<u32> = HashSet::new();
+                let mut held_tasks: HashSet<u32> = HashSet::new();
                 for p in m.into_iter().flat_map(|m| m.placements.iter_mut()) {
                     // A placement of an older entry that this entry holds again.
-                    let again = p.stage == PlacementStage::Durable && p.ledger_entry < id;
-                    if (p.stage != PlacementStage::Durable || again) && row.covers(p) {
+                    let is_rewritten = p.stage == PlacementStage::Durable && p.ledger_entry < id;
+                    if (p.stage != PlacementStage::Durable || is_rewritten) && row.covers(p) {
                         crate::trace_job!(
                             p.task_id,
                             machine = row.machine,
                             entry = id,
                             "written to the ledger"
                         );
-                        if again && let Some(old) = self.ledger.entries.get_mut(&p.ledger_entry) {
+                        if is_rewritten
+                            && let Some(old) = self.ledger.entries.get_mut(&p.ledger_entry)
+                        {
                             old.live = old.live.saturating_sub(1);
                         }
                         p.stage = PlacementStage::Durable;
                         p.ledger_entry = id;
-                        held.insert(p.task_index);
+                        held_tasks.insert(p.task_index);
                     }
                 }
-                entry.live += held.len() as u32;
+                entry.live += held_tasks.len() as u32;
                 // These placements were freed while their write was in flight.
                 for task in row.first_task..row.first_task + row.task_count {
-                    if !held.contains(&task) {
+                    if !held_tasks.contains(&task) {
                         self.ledger.freed.push(FreedPlacement {
                             attempt: row.attempt,
                             task_index: task,
@@ -104,11 +106,11 @@
                     return true;
                 }
                 p.stage = PlacementStage::Planned;
-                let live = !p.job_is_over(&self.jobs);
-                if !live {
+                let is_live = !p.job_is_over(&self.jobs);
+                if !is_live {
                     dropped.push((p.clone(), zone.clone()));
                 }
-                live
+                is_live
             });
             self.machines_to_record.insert(row.machine.clone());
         }
@@ -129,36 +131,36 @@
         }
     }
 
-    /// Handles the result of reading a key again; `mark` is its revision, 0 if the key is gone.
-    pub fn reread_done(&mut self, key: &str, mark: u64) {
+    /// Handles the result of reading a key again; `revision` is 0 if the key is gone.
+    pub fn reread_done(&mut self, key: &str, revision: u64) {
         self.keys_to_reread.remove(key);
         if key.starts_with(keys::LEDGER) {
             if let Some(batch) = self.ledger.in_doubt.take_if(|b| b.key() == key) {
                 info!(
                     key,
-                    revision = mark,
-                    written = mark > 0,
+                    revision,
+                    written = revision > 0,
                     "ledger transaction no longer in doubt"
                 );
                 // If the transaction is still applied after its entry was read as missing, it only
                 // repeats what the next entry holds: a new leader then counts placements that may
                 // not exist, and frees them on proof as usual.
-                if mark > 0 {
+                if revision > 0 {
                     self.record_written(batch);
                 } else {
                     self.record_unwritten(batch);
                 }
             }
         } else if let Some(id) = keys::job_of(key) {
-            if mark == 0 {
+            if revision == 0 {
                 self.remove_job(id);
             } else if let Some(job) = self.jobs.by_id_mut(id) {
-                job.revision = mark;
+                job.revision = revision;
             }
         } else if let Some((id, part)) = keys::progress_of(key)
             && let Some(job) = self.jobs.by_id_mut(id)
         {
-            job.stored_progress.set_revision(part, mark);
+            job.stored_progress.set_revision(part, revision);
         }
     }
 }
--- a/crates/control/src/leader/ledger/recovery.rs
+++ b/crates/control/src/leader/ledger/recovery.rs
@@ -15,32 +15,42 @@
     ) {
         let first_entry = entries.first().map(|(id, _)| keys::ledger(*id));
         let last_entry = entries.last().map(|(id, _)| keys::ledger(*id));
-        for (id, v) in entries {
+        for (id, record) in entries {
             let mut entry = LedgerEntry::default();
-            for LoggedPlacement(name, place, session, job, attempt, first, n) in v.placements {
+            for LoggedPlacement(
+                name,
+                machine_class,
+                incarnation,
+                job,
+                attempt,
+                first_task,
+                task_count,
+            ) in record.placements
+            {
                 entry.rows.push(LedgerRow {
                     machine: name.clone(),
                     attempt,
-                    first_task: first,
-                    task_count: n,
+                    first_task,
+                    task_count,
                 });
                 // The replay has checked that the entry has both indices.
-                let (place, job) = (&v.machine_classes[place], &v.jobs[job]);
-                for task in first..first.saturating_add(n) {
+                let (machine_class, job) =
+                    (&record.machine_classes[machine_class], &record.jobs[job]);
+                for task in first_task..first_task.saturating_add(task_count) {
                     if !replay.is_live_in(id, attempt, task) {
                         continue;
                     }
                     entry.live += 1;
-                    let no = self.jobs.index_of(&job.id);
-                    let image = no
-                        .and_then(|no| self.jobs.get(&no))
+                    let job_index = self.jobs.index_of(&job.id);
+                    let image_id = job_index
+                        .and_then(|job_index| self.jobs.get(&job_index))
                         .map_or(0, |j| j.image_id);
                     let p = Placement {
                         task_id: format!("{}/{task}", job.id),
-                        job: no,
+                        job: job_index,
                         task_index: task,
                         attempt,
-                        incarnation: session,
+                        incarnation,
                         stage: PlacementStage::Durable,
                         ledger_entry: id,
                         from_previous_term: true,
@@ -49,19 +59,24 @@
                         acknowledged: false,
                         running: false,
                         running_since: now,
-                        image_id: image,
+                        image_id,
                         team: job.team.clone(),
                         cpus: job.cpus,
                         gpus: job.gpus,
                         memory_gb: job.memory_gb,
-                        best_effort: no
-                            .and_then(|no| self.jobs.get(&no))
+                        best_effort: job_index
+                            .and_then(|job_index| self.jobs.get(&job_index))
                             .is_some_and(|j| j.best_effort),
                         eviction: EvictionState::NotRequested,
                     };
-                    self.record_placement(&p, &place.zone);
+                    self.record_placement(&p, &machine_class.zone);
                     if !self.machines.contains_key(&name) {
-                        let mut m = Machine::new(&place.machine_type, &place.zone, place.spot, now);
+                        let mut m = Machine::new(
+                            &machine_class.machine_type,
+                            &machine_class.zone,
+                            machine_class.spot,
+                            now,
+                        );
                         m.known_from_ledger = true;
                         m.cached_images = self.take_image_hints(&name, now);
                         // The previous leader may have extended shard leases until the end of its
@@ -70,7 +85,7 @@
                         self.machines.insert(name.clone(), m);
                     }
                     if let Some(m) = self.machines.get_mut(&name) {
-                        m.incarnation = m.incarnation.max(session);
+                        m.incarnation = m.incarnation.max(incarnation);
                         m.placements.push(p);
                     }
                 }
--- a/crates/control/src/leader/machine.rs
+++ b/crates/control/src/leader/machine.rs
@@ -178,10 +178,10 @@
     /// a higher token as new at most once in half a lease (protocol): hence the threshold.
     pub(super) fn is_partitioned_one_way(&self, now: f64, settings: &Settings) -> bool {
         let workers = &settings.workers;
-        let patience_s = limits::UNACKNOWLEDGED_HEARTBEATS_MAX * workers.report_s
+        let threshold_s = limits::UNACKNOWLEDGED_HEARTBEATS_MAX * workers.report_s
             + limits::UNACKNOWLEDGED_EXTRA_S;
-        let patience_s = patience_s.max(workers.lease_s / 2.0);
+        let threshold_s = threshold_s.max(workers.lease_s / 2.0);
         self.commands_unacknowledged_since
-            .is_some_and(|since| now - since > patience_s)
+            .is_some_and(|since| now - since > threshold_s)
     }
 }
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -132,42 +132,43 @@
 }
 
 impl Leader {
-    /// Creates a leader for the term `epoch`, whose leader key has the revision `mark`, from the
+    /// Creates a leader for a term, whose leader key has the revision `leader_revision`, from the
     /// state that it read in the key-value store.
     ///
     /// # Errors
     ///
     /// [`InvalidLedgerEntry`] if what the ledger places is unknown: no controller may lead then.
     pub fn new(
-        epoch: u64,
-        mark: u64,
+        term: u64,
+        leader_revision: u64,
         settings: Settings,
-        types: Vec<MachineType>,
-        from: RecoveredState,
+        machine_types: Vec<MachineType>,
+        recovered: RecoveredState,
         now: f64,
     ) -> Result<Leader, InvalidLedgerEntry> {
         let timing = LeaseTiming::new(settings.workers.lease_s, settings.workers.cancel_s);
-        let predictor = match &from.histograms {
+        let predictor = match &recovered.histograms {
             Some(h) => Predictor::restore(&snapshots::predictor_snapshot(h), now),
             None => Predictor::new(),
         };
-        let book = AdmissionController::new(epoch, from.admission.clone().unwrap_or_default(), now);
-        let book_full = book.at_capacity();
-        let kept = settings.state.kept();
+        let admission =
+            AdmissionController::new(term, recovered.admission.clone().unwrap_or_default(), now);
+        let at_capacity = admission.at_capacity();
+        let store_limits = settings.state.kept();
         let team_count = settings.teams.len();
         let mut leader = Leader {
-            store_limits: kept,
+            store_limits,
             dependencies: Dependencies::default(),
             obsolete_keys: BTreeSet::new(),
-            term: epoch,
-            leader_revision: mark,
+            term,
+            leader_revision,
             tokens_issued: 0,
             pending_queue: MultiLevelQueue::new(settings.policy.aging),
             settings,
             timing,
             term_started_at: now,
-            wall_clock_offset_s: from.wall_clock_ms as f64 / 1000.0 - now,
-            machine_types: types,
+            wall_clock_offset_s: recovered.wall_clock_ms as f64 / 1000.0 - now,
+            machine_types,
             jobs: JobTable::default(),
             machines: BTreeMap::new(),
             deleted_machines: HashMap::new(),
@@ -178,13 +179,13 @@
             image_cache_hints: HashMap::new(),
             scheduler: SchedulerState::new(team_count),
             predictor,
-            admission: book,
+            admission,
             capacity_sampled_at: now,
-            autoscaler: Autoscaler::new(book_full, now),
+            autoscaler: Autoscaler::new(at_capacity, now),
             keys_to_reread: BTreeSet::new(),
             deposed: false,
         };
-        leader.recover(from, now)?;
+        leader.recover(recovered, now)?;
         Ok(leader)
     }
 
@@ -219,12 +220,12 @@
 
     /// Machine, task and attempt of each placement that may be on a machine.
     pub fn placements_held(&self) -> BTreeSet<(String, String, u64)> {
-        let of = |(name, m): (&String, &Machine)| {
+        let held_on = |(name, m): (&String, &Machine)| {
             let name = name.clone();
             let row = move |p: &Placement| (name.clone(), p.task_id.clone(), p.attempt);
             m.placements.iter().map(row).collect::<Vec<_>>()
         };
-        self.machines.iter().flat_map(of).collect()
+        self.machines.iter().flat_map(held_on).collect()
     }
 
     /// Ids of all live jobs, sorted.
@@ -240,8 +241,8 @@
     }
 
     /// Sets the limits that every later transaction keeps to.
-    pub fn set_store_limits(&mut self, kept: StoreLimits) {
-        self.store_limits = kept;
+    pub fn set_store_limits(&mut self, store_limits: StoreLimits) {
+        self.store_limits = store_limits;
     }
 
     /// Time of day, ms.
--- a/crates/control/src/leader/progress.rs
+++ b/crates/control/src/leader/progress.rs
@@ -41,10 +41,10 @@
         for saved in records {
             let first = saved.record.first_task.unwrap_or(0);
             done.union_base64(&saved.record.finished_bitmap, first, tasks);
-            let mut own = Bitmap::default();
-            let own_tasks = tasks.saturating_sub(first);
-            own.union_base64(&saved.record.finished_bitmap, 0, own_tasks);
-            let bytes = own.chunk(0, usize::MAX).unwrap_or_default().to_vec();
+            let mut bitmap = Bitmap::default();
+            let tasks_from_first = tasks.saturating_sub(first);
+            bitmap.union_base64(&saved.record.finished_bitmap, 0, tasks_from_first);
+            let bytes = bitmap.chunk(0, usize::MAX).unwrap_or_default().to_vec();
             stored.record_written(saved.part, saved.revision, bytes);
         }
         (stored, done)
@@ -105,11 +105,11 @@
 impl Leader {
     /// Marks the later parts of the progress of a job that is over, and the chunks of its
     /// submission, as obsolete. Its other records are deleted with the write of its final state.
-    pub(super) fn discard_stored_rows(&mut self, id: &str, job: &Job) {
+    pub(super) fn mark_records_obsolete(&mut self, id: &str, job: &Job) {
         let parts = job.stored_progress.later_parts();
         let keys = parts.map(|part| keys::progress_part(id, part));
         self.obsolete_keys.extend(keys);
-        if let Some(chunks) = job.submission_parts {
+        if let Some(chunks) = job.submission_chunks {
             let prefix = keys::parts(&keys::submission(id), chunks.slot);
             let keys = (0..chunks.count).map(|chunk| format!("{prefix}{chunk}"));
             self.obsolete_keys.extend(keys);
