--- a/crates/control/src/leader/direct_commands.rs
+++ b/crates/control/src/leader/direct_commands.rs
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Whether work that may not go on may run here, while no heartbeat arrives and no stop was
-    /// sent recently.
+    /// Whether work that may not go on may still run here, while no heartbeat arrives and no stop
+    /// was sent recently.
     fn needs_direct_stop(&self, jobs: &JobTable, silent_s: f64, now: f64) -> bool {
         let has_address = self.up || !self.address.is_empty();
         let silent_for_s = now - self.last_heartbeat_at;
--- a/crates/control/src/leader/failures.rs
+++ b/crates/control/src/leader/failures.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Records that a task failed on the machine. Returns the pause before its job is tried again,
-    /// s.
+    /// Records that a task failed on the machine. Returns the pause, s, before its job is tried
+    /// again.
     pub(super) fn record_failure(
         &mut self,
         machine: &mut Machine,
--- a/crates/control/src/leader/heartbeat_commands.rs
+++ b/crates/control/src/leader/heartbeat_commands.rs
@@ -7,9 +7,8 @@
 use super::job_table::KnownJob;
 use super::*;
 
-/// A graceful stop is not repeated within this many times the length of
-/// `limits::MISSED_HEARTBEATS_MAX` heartbeats: the task may not have begun to save when the next
-/// ones were sent.
+/// Factor on the length of `limits::MISSED_HEARTBEATS_MAX` heartbeats, within which a graceful stop
+/// isn't repeated: the task may not have begun to save when the next heartbeats were sent.
 const STOP_REPEAT_FACTOR: f64 = 2.0;
 
 /// A stop that leaves the task time to save a checkpoint, if the task saves any.
@@ -101,7 +100,7 @@
     /// The command that has the worker forget a task that exited.
     ///
     /// Not given before the worker has seen the newest token and the direct start of the attempt
-    /// has been answered, since a start that is still in flight could run the task again; and if
+    /// has had its response, since a start that is still in flight could run the task again; and if
     /// the task is done, that must be durable first.
     fn forget_command(
         &self,
--- a/crates/control/src/leader/heartbeats.rs
+++ b/crates/control/src/leader/heartbeats.rs
@@ -14,7 +14,7 @@
 impl Leader {
     /// Processes a worker's heartbeat that the controller `owner` received, with the run times that
     /// it measured. Returns the fencing token of the response; `None` if the heartbeat is stale, or
-    /// of a deleted machine, and must not be answered.
+    /// of a deleted machine, and must not get a response.
     pub fn take_heartbeat(
         &mut self,
         owner: &str,
--- a/crates/control/src/leader/job.rs
+++ b/crates/control/src/leader/job.rs
@@ -82,8 +82,8 @@
     pub(super) running_tasks: u32,
     /// Number of placements that have not been freed, by zone.
     pub(super) placements_by_zone: HashMap<String, u32>,
-    /// Machines on which its tasks failed since one last succeeded, and when the last failed there,
-    /// s.
+    /// Machines on which its tasks failed since one last succeeded, each with the time, s, of the
+    /// last failure there.
     pub(super) failed_on: BTreeMap<String, f64>,
     /// Number of failed tasks since one last succeeded.
     pub(super) failure_count: u32,
--- a/crates/control/src/leader/job_batch.rs
+++ b/crates/control/src/leader/job_batch.rs
@@ -176,9 +176,8 @@
     }
 }
 
-/// Whether the key-value store lacks progress of the job and a transaction with it may be sent.
-/// None may be sent while one is in flight, nor before the records that it depends on were read
-/// again.
+/// Whether the key-value store lacks progress of the job and a transaction with it may be sent: no
+/// other is in flight, and the records that it depends on are not waiting to be read again.
 fn needs_write(job: &Job, keys_to_reread: &BTreeSet<String>) -> bool {
     let id = &job.spec.id;
     !job.write_in_flight
--- a/crates/control/src/leader/placement.rs
+++ b/crates/control/src/leader/placement.rs
@@ -8,7 +8,7 @@
 use super::parse_task_id;
 use crate::resources::Resources;
 
-/// The stage of a placement on its way into the ledger.
+/// The stage of writing a placement to the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PlacementStage {
     /// Not yet in the ledger.
@@ -45,7 +45,7 @@
     pub(super) attempt: u64,
     /// Incarnation of the worker on which it was placed.
     pub(super) incarnation: u64,
-    /// Its stage on the way into the ledger.
+    /// The stage of writing it to the ledger.
     pub(super) stage: PlacementStage,
     /// Number of the ledger entry that holds it; 0 while there is none.
     pub(super) ledger_entry: u64,
