--- a/crates/control/src/leader/direct_commands.rs
+++ b/crates/control/src/leader/direct_commands.rs
@@ -90,7 +90,9 @@
                 continue;
             };
             has_starts = true;
-            machine.unanswered_starts.remove(&(task.clone(), *attempt));
+            machine
+                .starts_awaiting_response
+                .remove(&(task.clone(), *attempt));
             if outcome == CommandOutcome::NotExecuted {
                 machine.start_was_rejected(task, *attempt);
             }
@@ -169,7 +171,7 @@
                     "start sent"
                 );
                 let attempt = (placement.task_id.clone(), placement.attempt);
-                self.unanswered_starts.insert(attempt);
+                self.starts_awaiting_response.insert(attempt);
                 commands.push(start(placement));
             }
         }
--- a/crates/control/src/leader/heartbeat_commands.rs
+++ b/crates/control/src/leader/heartbeat_commands.rs
@@ -110,7 +110,9 @@
         acknowledged_token: u64,
     ) -> Option<Command> {
         let attempt = (task.task.clone(), task.attempt);
-        if acknowledged_token < self.fencing_token || self.unanswered_starts.contains(&attempt) {
+        if acknowledged_token < self.fencing_token
+            || self.starts_awaiting_response.contains(&attempt)
+        {
             return None;
         }
         let is_durable = task.exit_cause != Some(ExitCause::Done)
--- a/crates/control/src/leader/heartbeats.rs
+++ b/crates/control/src/leader/heartbeats.rs
@@ -248,12 +248,12 @@
             .iter()
             .map(|t| (t.task.as_str(), t.attempt))
             .collect();
-        let unanswered = std::mem::take(&mut machine.unanswered_starts);
+        let awaiting_response = std::mem::take(&mut machine.starts_awaiting_response);
         let is_absent = |p: &Placement| {
             // A direct start without a response may still arrive, however many heartbeats come
             // first: a leader short of processor time sends it late.
             let start_may_arrive = p.stage != PlacementStage::Durable
-                || unanswered.contains(&(p.task_id.clone(), p.attempt));
+                || awaiting_response.contains(&(p.task_id.clone(), p.attempt));
             if start_may_arrive || listed.contains(&(p.task_id.as_str(), p.attempt)) {
                 return false;
             }
@@ -262,7 +262,7 @@
             p.from_previous_term || p.acknowledged || gave_up
         };
         let lost = machine.placements.take_if(is_absent);
-        machine.unanswered_starts = unanswered;
+        machine.starts_awaiting_response = awaiting_response;
         let context = FreeContext::shown_by(heartbeat, &machine.zone, FreeReason::NotListed);
         self.free_lost(lost, &context, now);
     }
--- a/crates/control/src/leader/machine.rs
+++ b/crates/control/src/leader/machine.rs
@@ -74,7 +74,7 @@
     pub(super) address: String,
     /// Task ids and attempts whose direct start has no response yet. The worker isn't told to
     /// forget them: the start could arrive after the forget and run the task again.
-    pub(super) unanswered_starts: HashSet<(String, u64)>,
+    pub(super) starts_awaiting_response: HashSet<(String, u64)>,
     /// The placements that may run on it.
     pub(super) placements: MachinePlacements,
     /// Whether the ledger that this leader read names it.
@@ -131,7 +131,7 @@
             spot_notice_s: None,
             reclaim_at: None,
             address: String::new(),
-            unanswered_starts: HashSet::new(),
+            starts_awaiting_response: HashSet::new(),
             placements: MachinePlacements::default(),
             known_from_ledger: false,
             cached_images: Vec::new(),
