--- a/crates/node/src/admission_filter.rs
+++ b/crates/node/src/admission_filter.rs
@@ -1,8 +1,8 @@
-//! Which new submissions this controller refuses under overload.
+//! Decides which new submissions this controller refuses under overload.
 //!
-//! The leader makes the admission table; every controller decides by its newest copy. Jobs
-//! refused of late are remembered and sent to the peers, so that the time for which a user
-//! has been trying counts wherever the job comes next.
+//! The leader computes the admission table; every controller decides by its newest copy of it.
+//! Recently refused jobs are remembered and sent to the peers, so that the time for which a user
+//! has been retrying counts at whichever controller the job is submitted next.
 
 use crate::lock;
 use cherrywood_admission::{
@@ -15,25 +15,25 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// What one peer has acknowledged of the refusals made here.
+/// The refusals of this controller that one peer has acknowledged.
 #[derive(Debug, Clone, Copy)]
 struct Acknowledged {
-    /// The peer's process that did.
+    /// Id of the peer's process that acknowledged them.
     process_id: u64,
-    /// The number of the last refusal that it knows.
+    /// Sequence number of the last refusal that the process knows.
     up_to: u64,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     table: AdmissionTable,
-    /// When the leader or the state service last had no newer table, s.
+    /// Time (s) at which the leader or the key-value store last had no newer table.
     confirmed_at: f64,
     refusals: RecentRefusals,
     acknowledged: BTreeMap<String, Acknowledged>,
 }
 
-/// The admission table as this controller has it, and the jobs refused of late.
+/// This controller's copy of the admission table, and the recently refused jobs.
 #[derive(Debug)]
 pub struct AdmissionFilter {
     enabled: bool,
@@ -41,7 +41,8 @@
 }
 
 impl AdmissionFilter {
-    /// A filter that admits all until it has a table; a disabled one admits all for ever.
+    /// A filter that admits every job until it has a table. A disabled filter always admits every
+    /// job.
     pub fn new(enabled: bool) -> AdmissionFilter {
         AdmissionFilter {
             enabled,
@@ -51,7 +52,7 @@
 
     // --- decisions ---
 
-    /// Is this new submission admitted at `now` (s)?
+    /// Decides whether this new submission is admitted at `now` (s).
     pub fn decide(&self, job: &Submission, now: f64) -> Decision {
         let inner = lock(&self.inner);
         if !self.enabled || inner.table.gates.is_empty() {
@@ -67,7 +68,7 @@
         decide(&inner.table, &request)
     }
 
-    /// This submission was refused here at `now`.
+    /// Records that this controller refused the submission at `now`.
     pub fn record_refusal(&self, job: &Submission, now: f64) {
         let mut inner = lock(&self.inner);
         let work = work_by_table(&inner.table, job);
@@ -76,14 +77,14 @@
         inner.refusals.record_local(hash, class, work, now);
     }
 
-    /// This job was accepted here: it no longer waits.
+    /// Records that this controller accepted the job: it no longer waits for admission.
     pub fn record_admission(&self, job: JobHash) {
         lock(&self.inner).refusals.remove(job);
     }
 
     // --- the table ---
 
-    /// Takes a table that is newer than its own, whoever has it.
+    /// Replaces the table if the given one is newer, from whichever controller it comes.
     pub fn adopt_if_newer(&self, table: &AdmissionTable) {
         let mut inner = lock(&self.inner);
         if table.version() > inner.table.version() {
@@ -91,40 +92,40 @@
         }
     }
 
-    /// Term and generation of the table.
+    /// The term and generation of the table.
     pub fn table_version(&self) -> TableVersion {
         lock(&self.inner).table.version()
     }
 
-    /// The table, if it is newer than this version.
+    /// The table, if it is newer than `version`.
     pub fn table_newer_than(&self, version: TableVersion) -> Option<AdmissionTable> {
         let inner = lock(&self.inner);
         (inner.table.version() > version).then(|| inner.table.clone())
     }
 
-    /// At `now` the leader or the state service had no newer table.
+    /// Records that the leader or the key-value store had no newer table at `now`.
     pub fn confirm_current(&self, now: f64) {
         let mut inner = lock(&self.inner);
         inner.confirmed_at = inner.confirmed_at.max(now);
     }
 
-    /// Has the table been unconfirmed for so long that it should be read?
+    /// Whether the table has been unconfirmed for so long that it should be read again.
     pub fn is_stale(&self, now: f64) -> bool {
         now - lock(&self.inner).confirmed_at > limits::TABLE_STALE_S
     }
 
     // --- refusals ---
 
-    /// The refusals that this peer hasn't acknowledged yet.
+    /// The refusals that this peer has not acknowledged yet.
     pub fn refusals_to_tell(&self, peer: &str, now: f64) -> RefusalBatch {
         let inner = lock(&self.inner);
         let from = inner.acknowledged.get(peer).map_or(0, |a| a.up_to);
         inner.refusals.local_since(from, now)
     }
 
-    /// The peer's process `process_id` knows the refusals up to this number. One that was
-    /// started meanwhile knows nothing of what was sent to the earlier process, however
-    /// soon it restarted: all is sent again, or users' waiting times would not count there.
+    /// Records that the peer's process `process_id` knows the refusals up to this sequence number.
+    /// A new process knows nothing of what was sent to the earlier one, however soon it was
+    /// restarted: all refusals are sent again, or users' waiting times would not count there.
     pub fn refusals_acknowledged(&self, peer: &str, process_id: u64, up_to: u64) {
         let mut inner = lock(&self.inner);
         let before = inner.acknowledged.get(peer);
@@ -134,7 +135,7 @@
         inner.acknowledged.insert(peer.to_string(), acknowledged);
     }
 
-    /// A peer refused these jobs.
+    /// Records that a peer refused these jobs.
     pub fn record_peer_refusals(&self, refused: &[RefusedJob], now: f64) {
         let mut inner = lock(&self.inner);
         for r in refused {
@@ -147,7 +148,7 @@
         lock(&self.inner).refusals.retrying(now)
     }
 
-    /// Drops refusals that are too old to count.
+    /// Evicts refusals that are too old to count.
     pub fn forget_old(&self, now: f64) {
         lock(&self.inner).refusals.expire(now);
     }
--- a/crates/node/src/api.rs
+++ b/crates/node/src/api.rs
@@ -1,4 +1,4 @@
-//! What users, workers and the load balancer ask over HTTP: paths, methods, handlers.
+//! The HTTP API for users, workers and the load balancer: paths, methods, handlers.
 
 use crate::cancellations::cancel;
 use crate::node::Node;
@@ -10,7 +10,7 @@
 use cherrywood_wire::decode;
 use cherrywood_wire::user::is_valid_job_id;
 
-/// Answers one request of a user, a worker or the load balancer.
+/// Handles one request of a user, a worker or the load balancer.
 pub async fn answer(node: &Node, request: Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
     let post = request.method == "POST";
@@ -32,7 +32,7 @@
     }
 }
 
-/// Whom the connection serves on which this request came.
+/// The class of the connection on which this request arrived.
 pub fn connection_class(request: &Request) -> ConnectionClass {
     match request.path.split('?').next() {
         Some("/healthz" | "/agent/beat") => ConnectionClass::Worker,
@@ -54,8 +54,8 @@
     if let Some(answer) = node.heartbeat(heartbeat).await {
         return Outcome::HeartbeatAnswered(answer);
     }
-    // Another controller may own the machine's shard: name the leader, which can take every
-    // machine.
+    // Another controller may own the machine's shard: redirect the worker to the leader, which
+    // can accept every machine.
     let leader = node.lock_state().leader_contact.known_leader.clone();
     match leader.filter(|label| label != node.label()) {
         Some(label) => Outcome::ReportToLeader(label),
--- a/crates/node/src/background/admission_table.rs
+++ b/crates/node/src/background/admission_table.rs
@@ -1,5 +1,5 @@
-//! The admission table: made by the leader, stored in the state service, and read from there
-//! by controllers that get no newer table from the leader.
+//! The admission table: computed by the leader, stored in the key-value store, and read from
+//! there by controllers that receive no newer table from the leader.
 
 use crate::chunked_values;
 use crate::node::Node;
@@ -9,9 +9,9 @@
 use cherrywood_wire::admission::{AdmissionValue, TableVersion};
 use std::sync::Arc;
 
-/// Makes tables while this controller leads. Those of a new generation, which
-/// begins when the contents have changed enough, are written to the state service, at most
-/// once every `TABLE_WRITE_INTERVAL_S`.
+/// Computes admission tables while this controller leads. A new generation begins when the
+/// contents have changed enough; its table is written to the key-value store, at most once every
+/// `TABLE_WRITE_INTERVAL_S`.
 pub(super) async fn publish(node: Arc<Node>) {
     let mut written_version = TableVersion::default();
     let mut written_at = f64::NEG_INFINITY;
@@ -49,7 +49,7 @@
     }
 }
 
-/// Reads the table that the state service holds while none came from the leader.
+/// Reads the table from the key-value store while the leader sends none.
 pub(super) async fn refresh(node: Arc<Node>) {
     loop {
         let pause = limits::TABLE_WRITE_INTERVAL_S * node.host.random_between(0.8, 1.2);
--- a/crates/node/src/background/autoscaling.rs
+++ b/crates/node/src/background/autoscaling.rs
@@ -1,4 +1,4 @@
-//! The leader's requests to the cloud: rent and return machines, list them, read prices.
+//! The leader's requests to the cloud: rent and delete machines, list them, read prices.
 
 use super::transactions::leads_in_term;
 use crate::node::Node;
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// s before machine types that were never read are asked for again.
+/// Seconds between attempts to read the machine types for the first time.
 const FIRST_TYPES_RETRY_S: f64 = 0.5;
 
-/// Keeps machine types and prices: read once by every controller, and again and again by the
-/// leader.
+/// Refreshes machine types and prices: every controller reads them once, the leader
+/// periodically.
 pub(super) async fn refresh_machine_types(node: Arc<Node>) {
     loop {
         let is_due = {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Has machines rented and returned as the leader decides.
+/// Rents and deletes machines as the leader's autoscaler decides.
 pub(super) async fn scale(node: Arc<Node>) {
     loop {
         node.host.sleep(limits::AUTOSCALER_INTERVAL_S).await;
@@ -46,8 +46,8 @@
         };
         let (term, calls) = decided.unwrap_or_default();
         for call in calls {
-            // Each call may take seconds, and this process may have stalled: it must not delete
-            // machines that another leader uses by now.
+            // Each call may take seconds, and this process may have stalled. It must not delete
+            // machines that another leader already uses.
             if !leads_in_term(&node, term) {
                 break;
             }
@@ -75,13 +75,13 @@
                     leader.rental_answered(&rent, Some(&names), now);
                 }
             }
-            // If the cloud rented machines all the same, its machine list shows them later.
+            // If the cloud rented machines despite the error, its machine list shows them later.
             Err(e) => warn!(%e, request = rent.request_id, "rental without an answer"),
         },
     }
 }
 
-/// Has the leader see the cloud's list of machines.
+/// Reads the cloud's list of machines periodically and applies it to the leader's state.
 pub(super) async fn refresh_machine_list(node: Arc<Node>) {
     let cloud = &node.settings.platform.deployment.cluster.cloud;
     // A third of the time by which the list may lag.
--- a/crates/node/src/background/dependency_states.rs
+++ b/crates/node/src/background/dependency_states.rs
@@ -1,4 +1,5 @@
-//! Reads the final states of dependencies: a job waits until each is known to be done.
+//! Reads the final states of dependencies: a job waits until each of its dependencies is known
+//! to be done.
 
 use crate::job_queries::final_states;
 use crate::node::Node;
@@ -8,7 +9,7 @@
 
 /// Reads the final states that the leader needs, in an endless loop.
 pub(super) async fn run(node: Arc<Node>) {
-    // Jobs of which nothing was found, and when to read again, s.
+    // Jobs without a final state at the last read, and the time (s) of their next read.
     let mut read_again_at: HashMap<String, f64> = HashMap::new();
     loop {
         node.host.sleep(limits::DEPENDENCY_CHECK_INTERVAL_S).await;
--- a/crates/node/src/background/direct_commands.rs
+++ b/crates/node/src/background/direct_commands.rs
@@ -1,13 +1,13 @@
-//! What the leader sends to workers itself, not through the owners of their shards: stops for
-//! work that is over on silent machines, and status queries to machines whose heartbeats look
-//! old.
+//! Requests that the leader sends to workers itself, not through the owners of their shards:
+//! stops for tasks that are over on silent machines, and status queries to machines whose
+//! heartbeats look outdated.
 
 use crate::node::Node;
 use cherrywood_limits as limits;
 use cherrywood_wire::agent::DirectCommands;
 use std::sync::Arc;
 
-/// Sends what is due, in an endless loop.
+/// Sends the stops and status queries that are due, in an endless loop.
 pub(super) async fn run(node: Arc<Node>) {
     loop {
         node.host.sleep(limits::DIRECT_CONTACT_INTERVAL_S).await;
--- a/crates/node/src/background/heartbeat_forwarding.rs
+++ b/crates/node/src/background/heartbeat_forwarding.rs
@@ -1,11 +1,11 @@
-//! Sends the heartbeats of this controller's shard to the leader, many in one frame.
+//! Forwards the heartbeats of this controller's shard to the leader, batched into frames.
 
 use crate::node::Node;
 use cherrywood_limits as limits;
 use std::sync::Arc;
 
-/// Sends a frame `HEARTBEAT_BATCH_DELAY_S` after heartbeats came, without waiting for the
-/// answers to earlier frames.
+/// Sends a frame `HEARTBEAT_BATCH_DELAY_S` after heartbeats arrived, without waiting for the
+/// responses to earlier frames.
 pub(super) async fn run(node: Arc<Node>) {
     loop {
         node.heartbeat_outbox.due.notified().await;
--- a/crates/node/src/background/job_commits.rs
+++ b/crates/node/src/background/job_commits.rs
@@ -1,4 +1,4 @@
-//! Commits what the leader knows of jobs: finished tasks and final states.
+//! Commits the leader's job records: finished tasks and final states.
 
 use super::transactions::{FailedRounds, commit, reread_revisions};
 use crate::node::Node;
@@ -7,15 +7,15 @@
 use cherrywood_net::rate_limiter::RequestPriority;
 use std::sync::Arc;
 
-/// A batch, and the leader's term that it belongs to.
+/// A batch of job records to commit, and the leader's term that it belongs to.
 struct DueBatch {
     term: u64,
     batch: JobBatch,
-    /// Does it hold progress, which is written less often than final states?
+    /// Whether the batch contains progress, which is written less often than final states.
     with_progress: bool,
 }
 
-/// Commits what is due, whenever something is.
+/// Commits job records whenever some are due.
 pub(super) async fn run(node: Arc<Node>) {
     let mut progress_written_at = 0.0;
     let mut failed_rounds = FailedRounds::default();
@@ -64,7 +64,7 @@
     if let Some(leader) = node.lock_state().term.leader_of_term(due.term) {
         leader.job_batch_done(due.batch, &outcome, now);
     }
-    // Jobs that waited for these may start.
+    // Jobs that depend on the jobs of this batch may now start.
     node.placement_commit_due.notify_one();
     outcome
 }
--- a/crates/node/src/background/job_watch.rs
+++ b/crates/node/src/background/job_watch.rs
@@ -1,8 +1,8 @@
 //! The leader's view of the jobs: it watches their records for new and ended jobs.
 //!
-//! Once an answer has been processed completely, the leader knows every cancellation that was
-//! committed before the request was sent. Its right to answer workers depends on that, so
-//! nothing is awaited between receiving an answer and processing it.
+//! Once a response has been processed completely, the leader knows every cancellation that was
+//! committed before the request was sent. Its right to respond to workers depends on that, so
+//! nothing is awaited between receiving a response and processing it.
 
 use crate::job_records;
 use crate::node::Node;
@@ -19,30 +19,30 @@
 /// A change of one job's record.
 struct JobChange {
     key: String,
-    /// None if the job is over.
+    /// `None` if the job is over.
     record: Option<JobRecord>,
     revision: u64,
 }
 
-/// What one answer of the state service says of the jobs.
+/// Changes of job records, as read in one response of the key-value store.
 struct JobChanges {
     changes: Vec<JobChange>,
     /// Ids of live jobs whose records can't be read.
     unreadable: BTreeSet<String>,
-    /// These are all the jobs that there are: what isn't among them is over.
+    /// Whether these are all live jobs: any job that is not among them is over.
     is_complete: bool,
-    /// The state service's revision up to which they are complete.
+    /// The key-value store's revision up to which the changes are complete.
     revision: u64,
 }
 
-/// Passes changes to the leader, for as long as this controller leads.
+/// Passes changes of job records to the leader, for as long as this controller leads.
 pub(super) async fn run(node: Arc<Node>) {
     let mut position: Option<WatchPosition> = None;
     loop {
         node.host.sleep(limits::WATCH_INTERVAL_MIN_S).await;
         let leading = {
             let mut state = node.lock_state();
-            // The recovery has read all jobs already.
+            // The recovery has already read all jobs.
             position = state.term.recovered_up_to.take().or(position);
             let leader = state.term.leader.as_ref();
             leader.map(|l| (l.term(), state.term.leadership.lease_id()))
@@ -69,15 +69,15 @@
                 }
                 node.notify_commits_due();
             }
-            // Too old for the state service: all is read again.
+            // The key-value store no longer has the changes since `from`: all jobs are read again.
             Ok(None) => position = None,
             Err(_) => node.host.sleep(limits::WATCH_RETRY_S).await,
         }
     }
 }
 
-/// What changed after this revision, or all jobs if there is none to start from. None if the
-/// state service no longer has the changes.
+/// Reads the changes after revision `from`, or all jobs if it is `None`. Returns `None` if the
+/// key-value store no longer has the changes since `from`.
 async fn read_changes(node: &Node, from: Option<u64>) -> Result<Option<JobChanges>, NetError> {
     match from {
         None => {
@@ -128,7 +128,8 @@
     }
 }
 
-/// Gives the changes to the leader of this term. False if it leads no more.
+/// Applies the changes to the leader of this term. Returns false if this controller no longer
+/// leads in it.
 fn take_in(node: &Arc<Node>, term: u64, changes: JobChanges) -> bool {
     let now = node.now();
     let mut state = node.lock_state();
@@ -162,8 +163,8 @@
                 unread.remove(id);
                 leader.remove_job(id);
             }
-            // Its submission is read in a task of its own: one that can't be read, or not
-            // yet, must not delay the cancellations that come after it.
+            // The chunked submission is read in a separate task: one that can't be read, or can't
+            // be read yet, must not delay the cancellations that come after it.
             Some(record) if record.chunk_set().is_some() && !leader.has_live_job(id) => {
                 unread.insert(id.to_string(), change.revision);
                 let read = read_submission(node.clone(), term, record, change.revision);
@@ -175,8 +176,8 @@
     true
 }
 
-/// Reads a submission that stands in chunks beside its record, and gives the job to the leader
-/// unless it is over by then.
+/// Reads a submission that is stored in chunks beside its record, and passes the job to the
+/// leader unless the job is over by then.
 async fn read_submission(node: Arc<Node>, term: u64, record: JobRecord, revision: u64) {
     let id = record.submission.id.clone();
     loop {
--- a/crates/node/src/background/leader_election.rs
+++ b/crates/node/src/background/leader_election.rs
@@ -1,5 +1,5 @@
-//! Election of the leader: the controller that creates the leader's key, while there is none,
-//! under a lease of its own. Each election has a higher term than the one before.
+//! Leader election: the controller that creates the leader's key under its own lease, while the
+//! key does not exist, becomes the leader. Each election has a higher term than the one before.
 
 use super::recovery;
 use crate::node::Node;
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 use tracing::{Instrument as _, debug, info, warn};
 
-/// Reads the leader's key periodically while this controller doesn't lead, and campaigns if
-/// there is none.
+/// Reads the leader's key periodically while this controller does not lead, and campaigns if
+/// the key does not exist.
 pub(super) async fn run(node: Arc<Node>) {
     loop {
         let leads = node.lock_state().term.leader.is_some();
@@ -26,18 +26,18 @@
                 Err(error) => debug!(%error, "election"),
             }
         }
-        // Jitter, so that controllers rarely campaign at the same moment.
+        // Jitter makes it unlikely that controllers campaign at the same moment.
         pause_s *= node.host.random_between(0.8, 1.2);
         node.host.sleep(pause_s).await;
     }
 }
 
-/// How a campaign ended that got its answers.
+/// Result of a campaign whose requests all got a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CampaignResult {
     /// There is a leader, or one may be elected at once.
     Settled,
-    /// This controller was elected and can't read what the state service holds.
+    /// This controller was elected but can't read the state in the key-value store.
     CannotLead,
 }
 
@@ -59,9 +59,12 @@
     }
 }
 
-/// This process doesn't lead, so an earlier one of the same label did, and it has ended: its
-/// lease is revoked instead of waited for. Should it still run, it acts as the leader until its
-/// lease expires by its own clock, so shard leases that it grants until then must be waited out.
+/// Revokes the leader's lease of an earlier process with this controller's label.
+///
+/// This process does not lead, so an earlier one with the same label did, and it has ended: its
+/// lease is revoked rather than waited for. If that process still runs, it acts as the leader
+/// until its lease expires by its own clock, so the shard leases that it grants until then must
+/// be waited out.
 async fn end_own_earlier_lease(node: &Node, item: KeyValue<LeaderRecord>) -> Result<(), NetError> {
     if let Some(lease) = item.lease {
         node.store.revoke_lease(lease).await?;
@@ -110,7 +113,8 @@
     }
 }
 
-/// Writes the leader's key, if there is none, and the next term, if it is still the next.
+/// The transaction that writes the leader's key, if it does not exist, and the new term, if the
+/// stored term has not changed since it was read.
 fn election_txn(leader: LeaderRecord, lease: u64, term_revision: u64) -> Txn {
     let term = TermRecord {
         last_term: leader.term,
@@ -136,7 +140,7 @@
     }
 }
 
-/// Gives leadership up, and says why.
+/// Gives up leadership and logs the reason `why`.
 pub(super) fn step_down(node: &Node, why: &str) {
     let mut state = node.lock_state();
     if state.term.end() {
--- a/crates/node/src/background/lease_renewal.rs
+++ b/crates/node/src/background/lease_renewal.rs
@@ -1,5 +1,5 @@
-//! Renews the lease of the leader's key, and steps down if it has expired, if another controller
-//! leads, or if this one's view of cancellations is too old.
+//! Renews the lease of the leader's key. The leader steps down if the lease has expired, if
+//! another controller leads, or if its own view of cancellations is too old.
 
 use super::leader_election::step_down;
 use crate::node::Node;
@@ -44,7 +44,7 @@
             leadership.lease_renewed(lease, sent, &node.timing);
         }
         Ok(false) => step_down(node, "the lease expired"),
-        // In an outage of the state service its leases don't expire, but shard leases do.
+        // Leases of the key-value store do not expire during its outage, but shard leases do.
         Err(error) => debug!(%error, "renewal"),
     }
 }
--- a/crates/node/src/background/maintenance.rs
+++ b/crates/node/src/background/maintenance.rs
@@ -1,5 +1,5 @@
-//! Periodic maintenance: old entries are dropped, postponed commits are tried again, and
-//! changes of readiness, stalls and refused queries are logged.
+//! Periodic maintenance: evicts old entries, retries postponed commits, and logs changes of
+//! readiness, stalls of the process, evicted or refused connections and refused queries.
 
 use super::transactions::reread_revisions;
 use crate::node::Node;
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 use tracing::{debug, info, warn};
 
-/// Rounds of a leader between two summaries in the log.
+/// Maintenance rounds of the leader between two summaries in the log.
 const ROUNDS_PER_SUMMARY: u32 = 20;
 
-/// Rounds between two looks at what became of the served connections.
+/// Maintenance rounds between two log lines about the served connections.
 const ROUNDS_PER_CONNECTION_COUNTS: u32 = 20;
 
-/// Runs a round every `AGING_INTERVAL_S`.
+/// Runs a maintenance round every `AGING_INTERVAL_S`.
 pub(super) async fn run(node: Arc<Node>) {
     let mut leader_rounds = 0u32;
     let mut rounds = 0u32;
@@ -72,7 +72,8 @@
     );
 }
 
-/// Logs what became of the served connections, if one was evicted or refused since `logged`.
+/// Logs the counts of served connections: at info level if a connection was evicted or refused
+/// since `logged`, else at debug level.
 fn log_connections(node: &Node, logged: &mut PoolCounts) {
     let counts = node.served_connections.counts();
     let open = node.served_connections.open();
@@ -98,7 +99,7 @@
 }
 
 /// Counts a round of the leader, and logs its summary every `ROUNDS_PER_SUMMARY` rounds.
-/// False if this controller doesn't lead.
+/// Returns false if this controller does not lead.
 fn run_leader_round(node: &Node, rounds: &mut u32, now: f64) -> bool {
     let mut state = node.lock_state();
     let Some(leader) = state.term.leader_if_may_write(now) else {
--- a/crates/node/src/background/member_versions.rs
+++ b/crates/node/src/background/member_versions.rs
@@ -1,5 +1,5 @@
-//! Rolling upgrades: each controller says which formats it understands, and the leader writes
-//! new ones once all do.
+//! Rolling upgrades: each controller publishes the format version that it understands, and the
+//! leader writes a new format once all controllers understand it.
 
 use crate::node::Node;
 use cherrywood_control::keys;
@@ -12,11 +12,12 @@
 use std::sync::Arc;
 use tracing::info;
 
-/// s before a version that couldn't be written is written again.
+/// Seconds before a failed write of the version is retried.
 const PUBLISH_AGAIN_S: f64 = 1.0;
 
-/// Publishes this controller's version once; as the leader, looks whether all have published
-/// theirs. Until then, records that the version in production reads keep their old format.
+/// Publishes this controller's version once. While it leads, also checks whether all controllers
+/// have published theirs. Until then, records that the version in production reads keep their
+/// old format.
 pub(super) async fn run(node: Arc<Node>) {
     let mut published = false;
     let mut all_upgraded = false;
@@ -54,7 +55,7 @@
     })
 }
 
-/// Writes what this controller understands, unless it is written already.
+/// Writes the format version that this controller understands, unless it is already stored.
 async fn publish(node: &Node) -> Result<(), NetError> {
     let key = keys::member(node.label());
     let format_version = limits::FORMAT_VERSION;
--- a/crates/node/src/background/mod.rs
+++ b/crates/node/src/background/mod.rs
@@ -1,8 +1,8 @@
-//! What a controller does by itself, beside answering requests: one module for each task, all
-//! of them endless loops that take turns on one thread.
+//! Background tasks of a controller: one module per task, each an endless loop. All tasks run
+//! concurrently on one thread.
 //!
-//! Every controller runs all of them. Those of the leader check in each round whether
-//! this controller leads, and do nothing if it doesn't.
+//! Every controller runs all tasks. Tasks of the leader check in each iteration whether this
+//! controller leads, and do nothing if it does not.
 
 mod admission_table;
 mod autoscaling;
@@ -25,7 +25,8 @@
 use cherrywood_limits as limits;
 use std::sync::Arc;
 
-/// Starts all tasks. Their order must not change: simulations replay only with the same one.
+/// Starts all background tasks. Their order must not change: a simulation replays identically
+/// only if tasks start in the same order.
 pub fn start(node: &Arc<Node>) {
     let host = &node.host;
     host.spawn(leader_election::run(node.clone()));
@@ -50,7 +51,7 @@
     }
 }
 
-/// Says hello to the peer of this index, in an endless loop.
+/// Sends hellos to the peer with this index, in an endless loop.
 async fn say_hellos(node: Arc<Node>, peer: usize) {
     loop {
         node.say_hello(&node.peers[peer]).await;
--- a/crates/node/src/background/placement_commits.rs
+++ b/crates/node/src/background/placement_commits.rs
@@ -1,4 +1,5 @@
-//! Plans placements, commits them to the ledger and has the starts that follow sent.
+//! Plans placements, commits them to the placement ledger and sends the resulting start
+//! commands.
 
 use super::transactions::{FailedRounds, commit, reread_revisions};
 use crate::frames::{self, MachineCommands};
@@ -12,7 +13,7 @@
 use std::sync::Arc;
 use tracing::Instrument as _;
 
-/// Commits what is due, whenever something is.
+/// Commits placements whenever some are due.
 pub(super) async fn run(node: Arc<Node>) {
     let mut failed_rounds = FailedRounds::default();
     loop {
@@ -30,7 +31,7 @@
     }
 }
 
-/// The leader's term, and what it wants written now; heartbeats of many workers share one
+/// The leader's term and the ledger batch that is due now. Heartbeats of many workers share one
 /// pass over the queue.
 fn next_batch(node: &Node) -> Option<(u64, LedgerBatch)> {
     let now = node.now();
@@ -41,7 +42,7 @@
     Some((leader.term(), leader.ledger_batch()?))
 }
 
-/// Commits placements, and has the workers of those that are committed start them.
+/// Commits placements, and sends start commands to the workers of the committed ones.
 async fn commit_batch(node: &Arc<Node>, term: u64, batch: LedgerBatch) -> WriteOutcome {
     let span = tracing::trace_span!(target: "life", "placement", term);
     let write = commit(node, term, &batch.txn, RequestPriority::Placement);
@@ -57,8 +58,8 @@
     outcome
 }
 
-/// Passes the outcome of its batch to the leader; returns the commands that it wants sent
-/// now, by the label of the workers' shard owner.
+/// Passes the outcome of the batch to the leader. Returns the commands that are due now, by the
+/// label of the workers' shard owner.
 fn take_in_outcome(
     node: &Node,
     term: u64,
@@ -77,13 +78,13 @@
         .unwrap_or_default()
 }
 
-/// The commands in the form of the frames between controllers.
+/// Converts commands to the form used in frames between controllers.
 fn in_frame_form(commands: AddressedCommands) -> MachineCommands {
     (commands.machine, commands.address, commands.commands)
 }
 
-/// Has commands sent straight to workers by the owner of their shard. What this doesn't
-/// reach or leaves unknown, the workers' next heartbeats settle.
+/// Has the owner of the workers' shard send commands directly to them. Commands that do not
+/// arrive, or whose outcome stays unknown, are settled by the workers' next heartbeats.
 async fn send_commands(
     node: Arc<Node>,
     term: u64,
@@ -95,7 +96,7 @@
             let executed = send_through_peer(peer, &commands).await;
             executed.into_iter().map(Into::into).collect()
         }
-        // This controller's own shard.
+        // The workers are in this controller's own shard.
         None => node.deliver_commands_to_all(commands.clone()).await,
     };
     for (i, (machine, _, sent)) in commands.iter().enumerate() {
--- a/crates/node/src/background/recovery.rs
+++ b/crates/node/src/background/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of the leader's state after an election: what the state service holds of the
-//! placement ledger, of jobs and of what earlier leaders learned.
+//! Recovery of the leader's state after an election: the placement ledger, jobs, and the data
+//! that earlier leaders learned, all read from the key-value store.
 
 use crate::chunked_values;
 use crate::job_records;
@@ -18,32 +18,32 @@
 use std::sync::Arc;
 use tracing::info;
 
-/// Why a recovery failed. What the ledger may hold counts as running, so a controller that
-/// can't read all of it doesn't lead.
+/// Reason why a recovery failed. Every placement that the ledger may contain counts as running,
+/// so a controller that can't read the whole ledger does not lead.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RecoveryError {
-    /// A read got no answer for good.
+    /// A read failed and its retries were used up, or this controller no longer leads.
     #[error(transparent)]
     Read(#[from] NetError),
-    /// A record of the ledger is of another version, or damaged.
+    /// An entry of the ledger was written by another version, or is damaged.
     #[error("{key}: this version can't read the ledger entry")]
     UnreadableLedgerEntry {
-        /// Its key.
+        /// Key of the entry.
         key: String,
     },
-    /// A record of the ledger can be read and makes no sense.
+    /// An entry of the ledger is readable but inconsistent.
     #[error(transparent)]
     InvalidLedgerEntry(#[from] InvalidLedgerEntry),
 }
 
 impl RecoveryError {
-    /// Whether another attempt of this controller would fail as well.
+    /// Whether another recovery by this controller would fail as well.
     pub(super) fn is_lasting(&self) -> bool {
         !matches!(self, RecoveryError::Read(_))
     }
 }
 
-/// How reads of a recovery are repeated.
+/// Retry policy for reads during a recovery.
 const READ_RETRIES: RetryPolicy = RetryPolicy {
     max_attempts: limits::RECOVERY_READ_ATTEMPTS_MAX,
     first_delay_s: limits::RECOVERY_READ_DELAY_FIRST_S,
@@ -51,8 +51,7 @@
     give_up_after_s: f64::INFINITY,
 };
 
-/// Repeats a read that the state service refuses or that gets lost, while this controller
-/// leads.
+/// Retries a read that is refused by the key-value store or lost, while this controller leads.
 async fn insist<T, F>(node: &Node, mut read: impl FnMut() -> F) -> Result<T, NetError>
 where
     F: Future<Output = Result<T, NetError>>,
@@ -73,7 +72,7 @@
     }
 }
 
-/// Reads all that a leader starts from, and makes this controller's [`Leader`] from it.
+/// Reads the state that a leader starts from, and builds this controller's [`Leader`] from it.
 pub(super) async fn recover(
     node: &Arc<Node>,
     lease: u64,
@@ -82,7 +81,7 @@
 ) -> Result<(), RecoveryError> {
     let mut recovered = read_leader_records(node).await?;
     let chunk_keys = insist(node, || list_chunk_keys(node)).await?;
-    // Jobs last: if one ends meanwhile, the guards of the leader's writes for it fail.
+    // Jobs are read last. If a job ends meanwhile, the guards of the leader's writes for it fail.
     let jobs = insist(node, || job_records::list_live(node)).await?;
     recovered.unreadable_jobs = jobs.unreadable;
     recovered.jobs = read_submissions(node, jobs.rows, &mut recovered.unreadable_jobs).await?;
@@ -110,7 +109,8 @@
     info!(term, "failover complete: {}", leader.summary());
     let mut state = node.lock_state();
     if state.term.leadership.lease_id() != lease {
-        // It stepped down meanwhile; it may campaign again in the next election.
+        // This controller stepped down during the recovery. It may campaign again in the next
+        // election.
         return Ok(());
     }
     state.term.leader = Some(leader);
@@ -124,7 +124,8 @@
     Ok(())
 }
 
-/// The ledger, progress, and what earlier leaders learned (histograms, images, admission).
+/// Reads the ledger, progress records, and the data that earlier leaders learned (histograms,
+/// images, admission).
 async fn read_leader_records(node: &Node) -> Result<RecoveredState, RecoveryError> {
     let ledger = insist(node, || node.store.list::<PlacementLogRecord>(keys::LEDGER)).await?;
     let progress = insist(node, || node.store.list::<ProgressRecord>(keys::PROGRESS)).await?;
@@ -151,7 +152,7 @@
     })
 }
 
-/// The entries of the ledger by number; an error unless all of them can be read.
+/// The entries of the ledger by number. Fails unless all of them can be read.
 fn ledger_entries(
     ledger: Listing<PlacementLogRecord>,
 ) -> Result<Vec<(u64, PlacementLogRecord)>, RecoveryError> {
@@ -165,8 +166,8 @@
     ledger.rows.into_iter().map(entry).collect()
 }
 
-/// The jobs with their whole submissions, and the revisions of their records. One that can't
-/// be read is left in the store, and added to `unreadable`.
+/// Reads the jobs with their whole submissions, and the revisions of their records. A job whose
+/// submission can't be read stays in the store and is added to `unreadable`.
 async fn read_submissions(
     node: &Node,
     rows: Vec<KeyValue<JobRecord>>,
@@ -183,13 +184,13 @@
     Ok(jobs)
 }
 
-/// The keys of all chunks of submissions.
+/// Reads the keys of all chunks of submissions.
 async fn list_chunk_keys(node: &Node) -> Result<Vec<String>, NetError> {
     let listing = node.store.list::<IgnoredAny>(keys::SUBMISSIONS).await?;
     Ok(listing.rows.into_iter().map(|row| row.key).collect())
 }
 
-/// Chunks of submissions that never became jobs, or whose jobs are over.
+/// Keys of the chunks of submissions that never became jobs, or whose jobs are over.
 fn chunks_without_job(chunk_keys: Vec<String>, jobs: &[(JobRecord, u64)]) -> Vec<String> {
     let live: HashSet<&str> = jobs
         .iter()
--- a/crates/node/src/background/snapshots.rs
+++ b/crates/node/src/background/snapshots.rs
@@ -1,5 +1,5 @@
-//! Snapshots of what a new leader would have to learn anew: run time histograms, and which
-//! images are on which machines.
+//! Snapshots of data that a new leader would otherwise have to learn anew: run-time histograms,
+//! and which images are on which machines.
 
 use crate::chunked_values;
 use crate::node::Node;
@@ -8,11 +8,11 @@
 use cherrywood_net::rate_limiter::RequestPriority;
 use std::sync::Arc;
 
-/// Lowest rate, in changes per second, that a pause is computed from.
+/// Lowest rate, in changes per second, from which a pause is computed.
 const MIN_CHANGES_PER_S: f64 = 0.01;
 
-/// Writes snapshots while this controller leads. Lost ones are no harm: the next is due in
-/// seconds.
+/// Writes snapshots while this controller leads. A lost snapshot does no harm: the next one is
+/// due within seconds.
 pub(super) async fn run(node: Arc<Node>) {
     let mut pause_s = limits::SNAPSHOT_INTERVAL_S;
     loop {
@@ -38,7 +38,7 @@
         let histogram_changes = written.unwrap_or(1);
         let written = chunked_values::write(&node, guard, keys::IMAGES, images, priority).await;
         let changes = histogram_changes + written.unwrap_or(1);
-        // In chunks they take more changes, so they are written less often.
+        // Chunked snapshots take more changes, so they are written less often.
         let write_rps = node.store.limits().write_rps;
         let changes_per_s = write_rps * limits::LEADER_RATE_SHARE * limits::SNAPSHOT_CHANGES_SHARE;
         let due_s = changes as f64 / changes_per_s.max(MIN_CHANGES_PER_S);
--- a/crates/node/src/background/status_queries.rs
+++ b/crates/node/src/background/status_queries.rs
@@ -1,4 +1,4 @@
-//! Answers status queries in batches.
+//! Responds to status queries in batches.
 
 use crate::job_queries::read_final_state;
 use crate::node::Node;
@@ -14,10 +14,12 @@
 use tokio::sync::oneshot;
 use tracing::debug;
 
-/// A transaction compares four keys for each change that it may hold; a job has two.
+/// Jobs per change of a transaction: it may compare four keys for each change that it may
+/// contain, and a job has two keys.
 const JOBS_FOR_EACH_CHANGE: usize = 4 / 2;
 
-/// Answers queries in an endless loop: the first after a pause at once, the others together.
+/// Responds to queries in an endless loop: the first query after a pause is served at once, later
+/// ones in batches.
 pub async fn run(node: Arc<Node>) {
     loop {
         node.status_queries.due.notified().await;
@@ -33,16 +35,17 @@
     }
 }
 
-/// Answers a batch of queries.
+/// Responds to a batch of queries.
 ///
-/// The live and the final key of each job are compared in one transaction, so its answer
-/// describes one moment: with neither key, the job is unknown. Under overload most queries are
-/// for submissions without room, and two reads for each of them once used up a follower's
-/// share of the state service's rate: nine of ten users got 503 instead of 429.
+/// The live and the final key of each job are compared in one transaction, so its response
+/// describes one moment: a job with neither key is unknown. Under overload most queries are for
+/// submissions that lack room. Two reads for each of them used up a follower's share of the
+/// key-value store's rate, and nine of ten users got 503 instead of 429.
 ///
-/// The leader is asked for its counts before the comparison, which alone decides whether a job
-/// is live, and nothing is waited for after it. When both were asked at the same time, a slow
-/// leader let jobs be called queued after their cancellation was confirmed.
+/// The leader is asked for its counts before the comparison. The comparison alone decides
+/// whether a job is live, and nothing is awaited after it. If both requests were sent at the
+/// same time, a slow leader would cause jobs to be reported as queued after their cancellation
+/// was confirmed.
 async fn answer_batch(node: Arc<Node>, batch: QueryBatch) {
     let deadline = node.now() + limits::POLL_BATCH_TIMEOUT_S;
     let ids: Vec<String> = batch.keys().cloned().collect();
@@ -50,7 +53,7 @@
     let existing = match existing_keys(&node, &ids, deadline).await {
         Ok(keys) => keys,
         Err(error) => {
-            // Whoever waits gets `Unavailable` as the channels are dropped.
+            // Waiting requests get `Unavailable` when their channels are dropped.
             let queries: usize = batch.values().map(Vec::len).sum();
             node.status_queries.count_refused(queries);
             debug!(queries, %error, "status queries refused");
@@ -69,8 +72,8 @@
     }
 }
 
-/// Which of the jobs' live and final keys exist. A comparison changes nothing, so one whose
-/// response is late is sent again while the users still wait.
+/// Returns those of the jobs' live and final keys that exist. A comparison changes nothing, so it
+/// is sent again if its response is late, while the users still wait.
 async fn existing_keys(
     node: &Node,
     ids: &[String],
@@ -106,7 +109,7 @@
 
 fn answer_all(askers: Vec<oneshot::Sender<QueryAnswer>>, answer: impl Fn() -> QueryAnswer) {
     for asker in askers {
-        // One that gave up takes no answer.
+        // Sending fails for a request that has timed out.
         let _ = asker.send(answer());
     }
 }
--- a/crates/node/src/background/transactions.rs
+++ b/crates/node/src/background/transactions.rs
@@ -1,4 +1,4 @@
-//! How the leader's writes are committed, repeated and, where they are in doubt, checked.
+//! Commits of the leader's writes: retries, and checks of writes whose outcome is in doubt.
 
 use crate::node::Node;
 use cherrywood_control::leader::WriteOutcome;
@@ -11,7 +11,7 @@
 use serde::de::IgnoredAny;
 use tracing::warn;
 
-/// How one transaction is repeated.
+/// Retry policy for one transaction.
 const COMMIT_RETRIES: RetryPolicy = RetryPolicy {
     max_attempts: limits::COMMIT_ATTEMPTS_MAX,
     first_delay_s: limits::COMMIT_DELAY_FIRST_S,
@@ -19,7 +19,7 @@
     give_up_after_s: f64::INFINITY,
 };
 
-/// How rounds of commits follow each other while they fail.
+/// Pauses between rounds of commits while they fail.
 const FAILED_ROUND_PAUSES: RetryPolicy = RetryPolicy {
     max_attempts: u32::MAX,
     first_delay_s: limits::LEDGER_WRITE_INTERVAL_S,
@@ -27,10 +27,10 @@
     give_up_after_s: f64::INFINITY,
 };
 
-/// Keys read again in one round.
+/// Most keys read again in one round.
 const REREADS_AT_ONCE: usize = 20;
 
-/// Does this controller lead in this term, and may it write?
+/// Whether this controller leads in this term and may write.
 pub(super) fn leads_in_term(node: &Node, term: u64) -> bool {
     let now = node.now();
     let mut state = node.lock_state();
@@ -38,8 +38,8 @@
     leader.is_some_and(|l| l.term() == term)
 }
 
-/// Sends a transaction until it is known whether it was applied, or it can't be known, or this
-/// controller no longer leads in this term.
+/// Sends a transaction until it is known whether it was applied, until that can't be known, or
+/// until this controller no longer leads in this term.
 pub(super) async fn commit(
     node: &Node,
     term: u64,
@@ -68,12 +68,14 @@
     }
 }
 
-/// The outcome of a transaction after one attempt; None if it should be repeated. `maybe_applied`
-/// says whether an earlier attempt had an unknown outcome; this one's outcome is added to it.
+/// The outcome of a transaction after one attempt; `None` if it should be sent again.
+/// `maybe_applied` tells whether an earlier attempt had an unknown outcome, and is set if this
+/// attempt has one.
 fn settled(result: Result<TxnOutcome, NetError>, maybe_applied: &mut bool) -> Option<WriteOutcome> {
     match result {
         Ok(TxnOutcome::Applied(revision)) => Some(WriteOutcome::Applied(revision)),
-        // The conflict may be with our own attempt: what we wrote is read again.
+        // The conflict may be with an earlier attempt of this transaction: its records are read
+        // again.
         Ok(TxnOutcome::Conflict(_)) if *maybe_applied => Some(WriteOutcome::Unknown),
         Ok(TxnOutcome::Conflict(keys)) => Some(WriteOutcome::Conflict(keys)),
         Err(NetError::NotExecuted { .. }) => None,
@@ -81,7 +83,7 @@
             *maybe_applied = true;
             None
         }
-        // Not repeated as it is: the leader builds a new, smaller transaction.
+        // Not sent again unchanged: the leader builds a new, smaller transaction.
         Err(NetError::TooLarge { .. }) if !*maybe_applied => Some(WriteOutcome::Refused),
         Err(NetError::TooLarge { .. }) => Some(WriteOutcome::Unknown),
         Err(error @ (NetError::InvalidResponse { .. } | NetError::UnexpectedStatus { .. })) => {
@@ -91,12 +93,13 @@
     }
 }
 
-/// Rounds of commits that failed in a row.
+/// Number of consecutive failed rounds of commits.
 #[derive(Debug, Default)]
 pub(super) struct FailedRounds(u32);
 
 impl FailedRounds {
-    /// Counts a round. True if the state service answered it, with a conflict or not.
+    /// Records the outcome of a round. Returns true if the key-value store responded to it,
+    /// whether with a conflict or not.
     pub(super) fn note(&mut self, outcome: &WriteOutcome) -> bool {
         let answered = matches!(
             outcome,
@@ -106,7 +109,7 @@
         answered
     }
 
-    /// Waits before the next round; longer after each further failed round.
+    /// Waits before the next round, longer after each consecutive failed round.
     pub(super) async fn pause(&self, node: &Node) {
         let chance = node.host.random_between(0.0, 1.0);
         let pause_s = FAILED_ROUND_PAUSES.delay_s(self.0, chance);
@@ -114,8 +117,8 @@
     }
 }
 
-/// Reads the revisions of records again that the leader no longer knows for certain, some of
-/// them at a time.
+/// Reads again the revisions of records that the leader no longer knows for certain, at most
+/// `REREADS_PER_ROUND` at a time.
 pub(super) async fn reread_revisions(node: &Node) {
     let (term, keys): (u64, Vec<String>) = {
         let state = node.lock_state();
@@ -126,7 +129,7 @@
         (leader.term(), keys.cloned().collect())
     };
     for key in keys {
-        // Where one isn't answered the others won't be: they wait for the next round.
+        // If one read fails, the others are likely to fail as well: they wait for the next round.
         let Ok(record) = node.store.get::<IgnoredAny>(&key).await else {
             return;
         };
--- a/crates/node/src/cancellations.rs
+++ b/crates/node/src/cancellations.rs
@@ -1,5 +1,6 @@
-//! Cancellations. Any controller confirms one: the transaction that writes the final state
-//! deletes the live record and is guarded by its revision, so a job ends once.
+//! Cancellations. Any controller can confirm a cancellation: the transaction that writes the
+//! final state also deletes the live record and is guarded by that record's revision, so a job
+//! ends only once.
 
 use crate::job_queries::{JobLookup, look_up};
 use crate::node::Node;
@@ -13,7 +14,7 @@
 use cherrywood_wire::store::{Change, Guard, KeyValue, Txn};
 use cherrywood_wire::user::{JobState, is_valid_job_id};
 
-/// Answers `POST /submissions/{id}/cancel`.
+/// Handles `POST /submissions/{id}/cancel`.
 pub(crate) async fn cancel(node: &Node, id: &str) -> Response {
     let span = tracing::trace_span!(target: "life", "cancellation", job = %id);
     respond_in_span(span, id, end_as_cancelled(node, id)).await
@@ -23,7 +24,8 @@
     if !is_valid_job_id(id) {
         return Outcome::NotFound;
     }
-    // A conflict means that the job ended meanwhile; the next attempt reads how.
+    // A conflict means that the job has ended since it was read; the next attempt reads its final
+    // state.
     for _ in 0..limits::CANCEL_ATTEMPTS_MAX {
         if let Some(value) = node.lock_state().final_states.get(id) {
             return Outcome::ended(id, value);
@@ -56,13 +58,13 @@
 }
 
 /// The transaction that ends a live job as cancelled, unless its records have changed since
-/// `record` was read; and the final state that it writes.
+/// `record` was read, and the final state that the transaction writes.
 fn cancellation(
     node: &Node,
     id: &str,
     record: KeyValue<Readable<JobRecord>>,
 ) -> (Txn, FinalStateRecord) {
-    // A job whose record can't be read can be cancelled all the same.
+    // A job can be cancelled even if its record can't be read.
     let tasks = record.value.ok(id).map_or(0, |v| v.submission.tasks);
     let value = FinalStateRecord {
         state: JobState::Cancelled,
--- a/crates/node/src/chunked_values.rs
+++ b/crates/node/src/chunked_values.rs
@@ -1,4 +1,4 @@
-//! Values that may not fit one record of the state service: read and written whole or in
+//! Values that may not fit into one record of the key-value store: read and written whole or in
 //! chunks. `cherrywood_wire::chunks` defines how a value is split and how its chunks are named.
 
 use crate::node::Node;
@@ -19,7 +19,8 @@
     Change::Put { key, value, lease }
 }
 
-/// The texts of a set of chunks, in order; None if some are missing or belong to another set.
+/// Reads the texts of a set of chunks, in order; `None` if some chunks are missing or belong to
+/// another set.
 pub(crate) async fn read_chunks(
     node: &Node,
     key: &str,
@@ -39,15 +40,16 @@
     Ok(complete.then(|| by_number.into_values().collect()))
 }
 
-/// The value whose chunks these are; None, with a line in the log, if it can't be read.
+/// Parses a value from the texts of its chunks. Returns `None` and logs a warning if it can't be
+/// read.
 pub(crate) fn parse_chunks<T: DeserializeOwned>(key: &str, texts: &[String]) -> Option<T> {
     join_chunks(texts)
         .inspect_err(|e| tracing::warn!(key, %e, "unreadable record, left as it is"))
         .ok()
 }
 
-/// Reads a value, whole or in chunks. None if there is none that can be read: values stored
-/// like this help a new leader, which can do without them.
+/// Reads a value that is stored whole or in chunks. Returns `None` if there is no readable value:
+/// values stored this way help a new leader, but it can do without them.
 pub async fn read<T: ChunkedRecord>(node: &Node, key: &str) -> Result<Option<T>, NetError> {
     for _ in 0..limits::CHUNK_READ_ATTEMPTS_MAX {
         let Some(item) = node.store.get::<Readable<T>>(key).await? else {
@@ -60,7 +62,7 @@
             return Ok(Some(value));
         };
         node.chunk_slots.record(key, chunks.slot);
-        // While they were read a newer set may have replaced them: the record is read again.
+        // A newer set may have replaced the chunks while they were read: the record is read again.
         if let Some(texts) = read_chunks(node, key, chunks).await? {
             return Ok(parse_chunks(key, &texts));
         }
@@ -68,8 +70,8 @@
     Ok(None)
 }
 
-/// Writes a value under the leader's guard: in one record if it fits, else in chunks, and
-/// after those the record that names them. Returns the number of changes that it took.
+/// Writes a value under the leader's guard: in one record if it fits, else in chunks followed by
+/// the record that names them. Returns the number of changes written.
 pub async fn write<T: ChunkedRecord>(
     node: &Node,
     guard: Guard,
@@ -98,8 +100,8 @@
     };
     let mut changes = chunk_changes(key, chunks, texts);
     changes.push(put(key.into(), T::in_chunks(chunks).into_record()));
-    // Few at a time: at a low priority, a transaction with many changes would wait long for
-    // its share of the write rate.
+    // Transactions are kept small: at a low priority, a transaction with many changes would wait
+    // long for its share of the write rate.
     let at_once = (store_limits.write_rps * limits::CHUNK_BATCH_CHANGES_SHARE) as usize;
     for some in changes.chunks(at_once.clamp(1, store_limits.txn_changes)) {
         writer.commit_insistently(some).await?;
@@ -108,7 +110,7 @@
     Ok(changes.len())
 }
 
-/// The slot that the newest chunks of this key are in; 1 if there are none.
+/// The slot of the newest chunks of this key; 1 if there are none.
 async fn used_slot<T: ChunkedRecord>(node: &Node, key: &str) -> Result<u64, NetError> {
     if let Some(slot) = node.chunk_slots.last_seen(key) {
         return Ok(slot);
@@ -132,7 +134,7 @@
         .collect()
 }
 
-/// Writes under one guard, the leader's key.
+/// Writes records under one guard, the leader's key.
 struct GuardedWriter<'a> {
     node: &'a Node,
     guard: Guard,
@@ -152,7 +154,8 @@
         }
     }
 
-    /// Repeats a commit that is refused, a few times, while this controller leads.
+    /// Commits the changes, and retries a refused commit while this controller leads, for at most
+    /// `CHUNK_WRITE_ATTEMPTS_MAX` attempts in all.
     async fn commit_insistently(&self, changes: &[Change]) -> Result<(), NetError> {
         let mut tries = 0;
         while let Err(e) = self.commit(changes.to_vec()).await {
--- a/crates/node/src/dependencies.rs
+++ b/crates/node/src/dependencies.rs
@@ -1,4 +1,4 @@
-//! May a new job wait for the jobs that it names?
+//! Checks whether a new job may depend on the jobs that it names.
 
 use crate::job_queries::final_states;
 use crate::node::Node;
@@ -12,21 +12,21 @@
 use cherrywood_wire::user::{JobKind, JobState, Submission};
 use std::collections::{BTreeSet, HashSet};
 
-/// Why a job may not depend on those that it names, or why that isn't known now.
+/// Reason why a job may not depend on the jobs that it names, or why that is not known now.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
-    /// A job that it needs is unknown to the state service.
+    /// A dependency is unknown to the key-value store.
     #[error("waits_on: {0} was never accepted; allowed: jobs that were")]
     NeverAccepted(String),
-    /// A job that it needs is a service, which runs until it is cancelled.
+    /// A dependency is a service, which runs until it is cancelled.
     #[error("waits_on: {0} is standing, and never done; allowed: arrays")]
     NeverDone(String),
-    /// The state service didn't serve a request.
+    /// The key-value store did not serve a request.
     #[error(transparent)]
     Store(#[from] NetError),
 }
 
-/// The needed jobs that the state service knows.
+/// The dependencies that the key-value store knows.
 #[derive(Debug, Default)]
 struct Dependencies<'a> {
     live: Vec<&'a String>,
@@ -36,15 +36,15 @@
 /// The state in which a job with dependencies is written.
 ///
 /// Each dependency must have been accepted, which is never undone: an accepted job is live or
-/// over from then on. A service is never done, so no job may depend on one; only the first few
-/// dependencies are checked for that, since users never name one (protocol). If a dependency
-/// is cancelled, this job is cancelled from the start. When that was left to the leader, the
-/// answer to the submission still said queued, long after the user had seen the dependency
-/// cancelled.
+/// over from then on. A service is never done, so no job may depend on a service; only the first
+/// `DEPENDENCY_KIND_CHECKS_MAX` dependencies are checked for that, since by the protocol users
+/// never name a service. If a dependency is cancelled, this job is cancelled from the start. If
+/// that were left to the leader, the response to the submission would still say queued, long
+/// after the user had seen the dependency cancelled.
 pub(crate) async fn check(node: &Node, job: &Submission) -> Result<InitialState, Error> {
     let Some(dependencies) = find(node, job).await? else {
-        // The job itself is known already, which comes before all else: its commit finds
-        // that out, and tells its state.
+        // The job itself is already known, which takes precedence over all checks: its commit
+        // detects that and returns the job's state.
         return Ok(InitialState::Queued);
     };
     for id in dependencies
@@ -69,8 +69,8 @@
     })
 }
 
-/// Which of the needed jobs are live and which are over; None if the job itself is known.
-/// One comparison covers many of them, and the job itself.
+/// Finds out which dependencies are live and which are over; `None` if the job itself is known.
+/// One comparison covers many dependencies and the job itself.
 async fn find<'a>(node: &Node, job: &'a Submission) -> Result<Option<Dependencies<'a>>, Error> {
     let ids_at_once = (node.store.limits().txn_changes * 2)
         .saturating_sub(1)
--- a/crates/node/src/feasibility.rs
+++ b/crates/node/src/feasibility.rs
@@ -1,27 +1,28 @@
-//! Can a job ever run, by what this controller has read of teams and machine types?
+//! Checks whether a job can ever run, by the teams and machine types that this controller has
+//! read.
 
 use cherrywood_control::Team;
 use cherrywood_wire::cloud::MachineType;
 use cherrywood_wire::user::{JobKind, Submission};
 
-/// Slack for sums of resources that users wrote as decimal fractions.
+/// Tolerance for sums of resources that users wrote as decimal fractions.
 const ROUNDING: f64 = 1e-6;
 
-/// Why a job can never run.
+/// Reason why a job can never run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Infeasible {
-    /// The settings name no such team.
+    /// The settings do not name the job's team.
     #[error("unknown team")]
     UnknownTeam,
     /// No machine type that the job allows is large enough for one of its tasks.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// What must run at once takes more than the team's limit.
+    /// The tasks that must run at once take more than the team's limit.
     #[error("more than the team's limit")]
     OverTeamLimit,
 }
 
-/// Tells why a job can never run, if so.
+/// Checks that a job can run; fails with the reason if it never can.
 pub(crate) fn check_feasible(
     job: &Submission,
     teams: &[Team],
--- a/crates/node/src/heartbeats.rs
+++ b/crates/node/src/heartbeats.rs
@@ -1,10 +1,10 @@
 //! Worker heartbeats.
 //!
-//! A worker sends heartbeats to any controller. The one that owns its shard answers under the
-//! shard lease that the leader granted: it forwards each heartbeat to the leader and passes the
-//! answer on. While the leader doesn't answer, the shard's owner renews the worker's lease by
-//! itself, for as long as the shard lease lasts. The leader handles the heartbeats of its own
-//! shard directly.
+//! A worker sends heartbeats to any controller. The owner of the worker's shard responds under
+//! the shard lease that the leader granted: it forwards each heartbeat to the leader and passes
+//! on the leader's response. While the leader does not respond, the shard owner renews the
+//! worker's lease by itself, for as long as the shard lease lasts. The leader handles the
+//! heartbeats of its own shard directly.
 
 use crate::frames;
 use crate::lock;
@@ -15,7 +15,7 @@
 use std::sync::Mutex;
 use tokio::sync::{Notify, oneshot};
 
-/// Tasks that succeeded since the machine's last heartbeat, and the seconds that each ran.
+/// Tasks that succeeded since the machine's last heartbeat, with the run time of each in seconds.
 type RunTimes = Vec<(String, f64)>;
 
 /// A heartbeat that waits for the next frame to the leader.
@@ -23,11 +23,11 @@
 struct QueuedHeartbeat {
     heartbeat: Heartbeat,
     run_times: RunTimes,
-    /// Dropped unused if the leader doesn't answer.
+    /// Receives the leader's response; dropped unused if the leader does not respond.
     answer: oneshot::Sender<Option<HeartbeatResponse>>,
 }
 
-/// Heartbeats on their way to the leader, which share frames.
+/// Queue of heartbeats to forward to the leader; several heartbeats share one frame.
 #[derive(Debug, Default)]
 pub struct HeartbeatOutbox {
     queue: Mutex<Vec<QueuedHeartbeat>>,
@@ -41,7 +41,7 @@
         self.due.notify_one();
     }
 
-    /// Takes the oldest heartbeats that fit one frame: one at least, however large.
+    /// Takes the oldest heartbeats that fit into one frame: at least one, however large.
     fn take_frame(&self) -> Vec<QueuedHeartbeat> {
         let mut queue = lock(&self.queue);
         let (mut rows, mut bytes) = (0, 0);
@@ -60,10 +60,10 @@
 }
 
 impl Node {
-    /// The answer to a worker's heartbeat; None if this controller may not answer the
+    /// The response to a worker's heartbeat; `None` if this controller may not respond to the
     /// machine now.
     ///
-    /// The right to answer is checked again when the answer is given: the process may have
+    /// The right to respond is checked again when the response is made: the process may have
     /// stalled while the heartbeat waited in a socket.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Option<HeartbeatResponse> {
         let received = self.now();
@@ -96,10 +96,10 @@
             .heartbeat_response(&machine, from_leader, received, now, shard_lease_s)
     }
 
-    /// The leader's answer to a heartbeat of `shard_owner`'s machine; None if this
-    /// controller may not act as the leader, or the machine must not be answered. What the
-    /// heartbeat frees is placed by the next commit, whose starts go straight to the
-    /// workers.
+    /// The leader's response to a heartbeat of a machine in `shard_owner`'s shard; `None` if this
+    /// controller may not act as the leader, or must not respond to the machine. Capacity that
+    /// the heartbeat frees is used by the next placement commit, whose start commands go directly
+    /// to the workers.
     pub(crate) fn handle_heartbeat(
         &self,
         shard_owner: &str,
@@ -119,14 +119,16 @@
         })
     }
 
-    /// The leader's answer to a heartbeat that is sent on to it; None if there is none.
+    /// The leader's response to a heartbeat that is forwarded to it; `None` if it does not
+    /// respond.
     async fn forward_heartbeat(
         &self,
         known_leader: Option<String>,
         heartbeat: Heartbeat,
         run_times: RunTimes,
     ) -> Option<HeartbeatResponse> {
-        // A controller that led until just now still names itself, which is no peer.
+        // A controller that has just stopped leading still names itself as the leader, and it is
+        // not its own peer.
         self.peer_with_label(known_leader.as_deref())?;
         let (answer, answered) = oneshot::channel();
         self.heartbeat_outbox.push(QueuedHeartbeat {
@@ -137,8 +139,8 @@
         answered.await.ok().flatten()
     }
 
-    /// Sends one frame of the outbox to the leader. If no answer comes in time, the heartbeats
-    /// count as unanswered.
+    /// Sends one frame of queued heartbeats to the leader. If no response arrives in time, the
+    /// leader counts as not having responded to them.
     pub(crate) async fn send_queued_heartbeats(&self) {
         let mut frame = self.heartbeat_outbox.take_frame();
         let known_leader = self.lock_state().leader_contact.known_leader.clone();
@@ -162,7 +164,7 @@
                 fencing_token,
                 commands,
             });
-            // A worker that gave up takes no answer.
+            // Sending fails if the worker's request has ended.
             let _ = queued.answer.send(answer);
         }
     }
--- a/crates/node/src/job_queries.rs
+++ b/crates/node/src/job_queries.rs
@@ -1,4 +1,4 @@
-//! What the state service says of a job: live, over or unknown.
+//! Look-ups of jobs in the key-value store: live, over or unknown.
 
 use crate::node::Node;
 use cherrywood_control::keys;
@@ -11,18 +11,18 @@
 use serde::de::IgnoredAny;
 use std::collections::{BTreeSet, HashMap};
 
-/// A job in the state service.
+/// Result of a look-up of a job in the key-value store.
 pub(crate) enum JobLookup {
-    /// It was accepted, and isn't over.
+    /// The job was accepted and is not over.
     Live,
-    /// It is over.
+    /// The job is over.
     Ended(FinalStateRecord),
-    /// No controller ever accepted it.
+    /// No controller ever accepted the job.
     Unknown,
 }
 
-/// The job's state. The live key is read before the final one: the transaction that deletes the
-/// live key writes the final one, so a job that ends between the reads is not missed.
+/// Looks up a job. The live key is read before the final one: the transaction that deletes the
+/// live key writes the final one, so a job that ends between the two reads is not missed.
 pub(crate) async fn look_up(
     node: &Node,
     id: &str,
@@ -46,7 +46,7 @@
     })
 }
 
-/// How the job ended, if it did, as the state service says.
+/// Reads the job's final state from the key-value store; `None` if the job has none.
 pub(crate) async fn read_final_state(
     node: &Node,
     id: &str,
@@ -64,8 +64,9 @@
     Ok(found.map(|item| item.value))
 }
 
-/// How these jobs ended, as far as they did. One by one if they are few; else by pages of
-/// the final states, each of which shows all in its range.
+/// The final states of those of these jobs that are over. Up to
+/// `DEPENDENCY_CHECK_SINGLE_READS_MAX` unknown jobs are read one by one; more are read by pages
+/// of the final states, each of which contains all final states in its range.
 pub(crate) async fn final_states(
     node: &Node,
     ids: &BTreeSet<String>,
@@ -110,7 +111,7 @@
             }
         }
         if covered == 0 {
-            // The page ends before the job it was asked for, which is then read by itself.
+            // The page ends before the job for which it was requested, so that job is read alone.
             if let Some(id) = unread.next()
                 && let Some(value) = read_final_state(node, id, RequestPriority::Critical).await?
             {
@@ -129,10 +130,11 @@
 }
 
 impl FinalStatePage {
-    /// The page that begins with this job, if it is over.
+    /// Reads the page that contains the final state of job `first`, if the job is over and the
+    /// page is long enough.
     async fn read(node: &Node, first: &str) -> Result<FinalStatePage, NetError> {
-        // The key without its last character sorts before `first`. The page begins after it,
-        // so it may hold other jobs' keys before that of `first`.
+        // The key without its last character sorts before the key of `first`. The page begins
+        // after it, so it may contain other jobs' keys before that of `first`.
         let key = keys::ended(first);
         let from = &key[..key.len() - 1];
         let prefix = keys::ended("");
@@ -147,13 +149,14 @@
         })
     }
 
-    /// Does it tell whether this job is over?
+    /// Whether the page shows if this job is over.
     fn covers(&self, id: &str) -> bool {
         let last_key = self.last_key.as_ref();
         self.is_last_page || last_key.is_some_and(|last| keys::ended(id) <= *last)
     }
 
-    /// How the job ended, if it did and its record can be read.
+    /// Removes the job's final state from the page and returns it, if the job is over and its
+    /// record can be read.
     fn take(&mut self, id: &str) -> Option<FinalStateRecord> {
         self.by_key.remove(&keys::ended(id))?.ok(id)
     }
--- a/crates/node/src/job_records.rs
+++ b/crates/node/src/job_records.rs
@@ -1,5 +1,5 @@
-//! Records of accepted jobs (`j/<id>`), and their submissions where those are too large for
-//! one record and stand beside it in chunks (`n/<id>/…`).
+//! Records of accepted jobs (`j/<id>`). A submission that is too large for one record is stored
+//! beside it in chunks (`n/<id>/…`).
 
 use crate::chunked_values::{chunk_changes, parse_chunks, put, read_chunks};
 use crate::node::Node;
@@ -18,13 +18,14 @@
 
 /// All live jobs.
 pub(crate) struct LiveJobs {
-    /// Those whose records can be read.
+    /// Records of the jobs whose records can be read.
     pub(crate) rows: Vec<KeyValue<JobRecord>>,
-    /// Ids of the others.
+    /// Ids of the jobs whose records can't be read.
     pub(crate) unreadable: BTreeSet<String>,
-    /// The store's revision at the reading.
+    /// The store's revision at the time of the read.
     pub(crate) revision: u64,
-    /// When the request was sent, s: what was committed before is in its answer.
+    /// Time (s) at which the request was sent: its response contains everything that was
+    /// committed before.
     pub(crate) sent: f64,
 }
 
@@ -48,8 +49,8 @@
     vec![absent(keys::job(id)), absent(keys::ended(id))]
 }
 
-/// Writes the record of a new job, accepted at this time of day (ms). The answer is that of
-/// the transaction that makes it accepted.
+/// Writes the record of a new job that was accepted at this wall-clock time (ms). Returns the
+/// outcome of the transaction by which the job becomes accepted.
 pub async fn create(
     node: &Node,
     job: &Submission,
@@ -58,7 +59,7 @@
     let mut retries = 0;
     loop {
         match try_create(node, job, accepted_at_ms).await {
-            // The limits have dropped just now: the next try is made for the new ones.
+            // The store's limits have just been lowered: the next attempt uses the new limits.
             Err(NetError::TooLarge { .. }) if retries < limits::CANCEL_ATTEMPTS_MAX => retries += 1,
             result => return result,
         }
@@ -84,7 +85,8 @@
         .await
 }
 
-/// Writes a job that needs a cancelled one: accepted, and cancelled with it.
+/// Writes the final state of a new job with a cancelled dependency: the job is accepted and
+/// cancelled at the same time.
 pub async fn create_cancelled(
     node: &Node,
     job: &Submission,
@@ -109,17 +111,17 @@
     Ok(result)
 }
 
-/// Chunks of a submission that are written.
+/// Chunks of a submission that have been written.
 struct WrittenChunks {
     chunks: ChunkSet,
-    /// Guards that hold while the chunks are as they were written, as many as the record's
-    /// transaction has room for: if a new leader deletes them as obsolete, the record's
-    /// transaction fails.
+    /// Guards that hold while the chunks are unchanged since they were written, as many as the
+    /// record's transaction has room for. If a new leader deletes the chunks as obsolete, the
+    /// record's transaction fails.
     guards: Vec<Guard>,
 }
 
-/// Writes the chunks of a submission, in a slot and set that its content gives: a repeat
-/// writes the same.
+/// Writes the chunks of a submission. Their slot and set id are derived from the submission's
+/// content, so a repeated submission writes the same chunks.
 async fn write_submission_chunks(
     node: &Node,
     job: &Submission,
@@ -152,14 +154,14 @@
             }
         }
     }
-    // A transaction has room for four guards for each change, and two are the record's own.
+    // A transaction has room for four guards per change. Two guards are those of the new job.
     written
         .guards
         .truncate((store_limits.txn_changes * 4).saturating_sub(2));
     Ok(written)
 }
 
-/// Guards of these records, which were all written at `revision`.
+/// Guards for the records of these changes, which were all written at `revision`.
 fn guards_of(changes: &[Change], revision: u64) -> impl Iterator<Item = Guard> {
     changes.iter().map(move |change| {
         let (Change::Put { key, .. } | Change::Delete { key }) = change;
@@ -170,7 +172,8 @@
     })
 }
 
-/// A job's record with its whole submission, wherever that stands; None if it can't be read.
+/// A job's record with its whole submission, whether that is stored in the record or in chunks;
+/// `None` if the submission can't be read.
 pub async fn with_submission(
     node: &Node,
     record: JobRecord,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,11 +1,12 @@
-//! The controller process as a library: the daemon runs one of it, a simulation several.
+//! The controller process as a library: the daemon runs one controller, a simulation several.
 //!
-//! [`api`] takes requests of users and workers, [`peer_requests`] those of other controllers;
-//! [`background`] holds what a controller does by itself. All work on one [`node::Node`], whose
-//! mutable part is [`state::ControllerState`]. Decisions of the leader are made by
-//! `cherrywood-control`, which does no I/O; this crate carries them out.
+//! [`api`] handles requests of users and workers, [`peer_requests`] those of other controllers;
+//! [`background`] contains a controller's background tasks. All of them work on one
+//! [`node::Node`], whose mutable part is [`state::ControllerState`]. `cherrywood-control`, which
+//! does no I/O, makes the leader's decisions; this crate carries them out.
 //!
-//! The state service that comments and log lines name is the platform's key-value store.
+//! The key-value store is the platform's state service, the name used in settings and in some
+//! log lines.
 //!
 //! Modules use each other in one direction: settings, state, admission filter, status queries,
 //! chunk slots, frames < node < heartbeats, peer requests, worker client, task counts < chunked
@@ -42,26 +43,26 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Locks state that stays valid even if a thread panicked with the lock: no invariant spans
-/// two statements there.
+/// Locks a mutex even if it is poisoned. The state behind it stays valid if a thread panics while
+/// it holds the lock, since no invariant of that state spans two statements.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Why a controller didn't start.
+/// Reason why a controller did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The settings can't be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address of the settings can't be listened on.
+    /// The process can't listen on an address from the settings.
     #[error("{field} {addr}: {error}")]
     Bind {
         /// The setting that names the address.
         field: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// What the operating system says.
+        /// The operating system's error.
         error: io::Error,
     },
 }
@@ -72,8 +73,7 @@
     Ok(())
 }
 
-/// Starts a controller: its background tasks run, and the future that is returned serves its
-/// users and workers.
+/// Starts a controller and its background tasks. The returned future serves users and workers.
 pub async fn start(
     host: Runtime,
     settings: Settings,
@@ -114,8 +114,8 @@
     bound.map_err(|error| StartError::Bind { field, addr, error })
 }
 
-/// Binds, with repetitions for a moment: a process that is restarted at once may find that its
-/// predecessor still listens.
+/// Binds an address, retrying for `BIND_RETRY_FOR_S` while it is in use: a process that is
+/// restarted at once may find its predecessor still listening.
 async fn bind_patiently(host: &Runtime, addr: SocketAddr) -> io::Result<Listener> {
     let until = host.now() + cherrywood_limits::BIND_RETRY_FOR_S;
     loop {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,5 @@
-//! One controller: what its background tasks and request handlers share.
+//! One controller: the state, clients and queues that its background tasks and request handlers
+//! share.
 
 use crate::admission_filter::AdmissionFilter;
 use crate::chunk_slots::ChunkSlots;
@@ -19,30 +20,31 @@
 /// A snapshot of a controller, for simulations and tests.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct NodeStatus {
-    /// Does it tell the load balancer that it serves users?
+    /// Whether the controller tells the load balancer that it serves users.
     pub is_ready: bool,
-    /// Machines whose heartbeats it may answer now: its valid shard leases.
+    /// Number of machines to whose heartbeats the controller may respond now: its valid shard
+    /// leases.
     pub granted_machines: usize,
-    /// The term in which it leads, if it does.
+    /// The term in which the controller leads, if it leads.
     pub leading_term: Option<u64>,
-    /// As leader: tasks that wait in each priority level.
+    /// As leader: number of tasks waiting in each level.
     pub pending_tasks_by_level: Vec<u32>,
-    /// As leader: each team's name, CPUs in use and most allowed.
+    /// As leader: each team's name, CPUs in use and limit of CPUs.
     pub team_cpus: Vec<(String, f64, f64)>,
 }
 
 /// One controller process.
 ///
-/// Handlers of users, workers and peers, and the background tasks, all run on one `Node`.
-/// What changes is behind the lock of [`ControllerState`], in a type with a lock of its own
-/// (admission filter, status queries, heartbeat outbox, chunk slots), or in a client.
+/// Handlers of requests from users, workers and peers, and the background tasks, all use one
+/// `Node`. Its mutable state is behind the lock of [`ControllerState`], in a type with its own
+/// lock (admission filter, status queries, heartbeat outbox, chunk slots), or in a client.
 #[derive(Debug)]
 pub struct Node {
-    /// The platform's settings and the operators' own, as read at the start.
+    /// The platform's and the operators' settings, as read when the process started.
     pub settings: Settings,
-    /// How long leadership, shard leases and worker leases last.
+    /// Durations of leadership, shard leases and worker leases.
     pub timing: LeaseTiming,
-    /// Client of the state service.
+    /// Client of the key-value store.
     pub store: StoreClient,
     /// Client of the cloud.
     pub cloud: CloudClient,
@@ -52,25 +54,25 @@
     pub peers: Vec<PeerClient>,
     /// Clock, network, random numbers and tasks of the machine that this process runs on.
     pub host: Runtime,
-    /// Notified when placements wait for a commit, or the queue must be looked at.
+    /// Notified when placements wait for a commit, or a placement pass over the queue is due.
     pub placement_commit_due: Notify,
     /// Notified when job records (progress, final states) wait for a commit.
     pub job_commit_due: Notify,
-    /// Heartbeats on their way to the leader.
+    /// Heartbeats to forward to the leader.
     pub heartbeat_outbox: HeartbeatOutbox,
-    /// Status queries that wait for the next read of the state service.
+    /// Status queries that wait for the next read of the key-value store.
     pub status_queries: StatusQueryQueue,
     /// Decides which new submissions are refused under overload.
     pub admission_filter: AdmissionFilter,
-    /// Where the chunks of large values were last seen.
+    /// The slots in which the chunks of large values were last seen.
     pub chunk_slots: ChunkSlots,
-    /// Random number that distinguishes this process from earlier ones of its label.
+    /// Random number that distinguishes this process from earlier processes with its label.
     pub(crate) process_id: u64,
     state: Mutex<ControllerState>,
 }
 
 impl Node {
-    /// A controller that does nothing yet: its tasks begin with [`crate::background::start`].
+    /// Creates a controller that does nothing yet: [`crate::background::start`] starts its tasks.
     pub fn new(host: Runtime, settings: Settings) -> Node {
         let platform = &settings.platform;
         let services = &platform.services;
@@ -112,7 +114,7 @@
         &self.settings.platform.label
     }
 
-    /// s on this controller's steady clock.
+    /// Seconds on this controller's monotonic clock.
     pub fn now(&self) -> f64 {
         self.host.now()
     }
@@ -122,7 +124,7 @@
         lock(&self.state)
     }
 
-    /// The state service has just answered this controller.
+    /// Records that the key-value store has just responded to this controller.
     pub fn note_store_answer(&self) {
         let now = self.now();
         self.lock_state().store_contact.answered(now);
@@ -139,7 +141,7 @@
         self.peers.iter().find(|p| Some(p.label.as_str()) == label)
     }
 
-    /// May the load balancer send users here?
+    /// Whether the load balancer may send users here.
     pub fn is_ready(&self) -> bool {
         let now = self.now();
         self.lock_state().is_ready(now)
--- a/crates/node/src/peer_requests.rs
+++ b/crates/node/src/peer_requests.rs
@@ -1,8 +1,8 @@
-//! What other controllers ask, and the hellos by which controllers know of each other.
+//! Requests of other controllers, and the hellos by which controllers stay in contact.
 //!
-//! Each controller says hello to every peer once a second. The leader's answer renews the
-//! shard of the one that asked; every answer tells whether the state service is reached from
-//! there, and brings a newer admission table if there is one.
+//! Each controller sends a hello to every peer once a second. The leader's response renews the
+//! sender's shard leases. Every response tells whether the responding controller reaches the
+//! key-value store, and contains its admission table if that is newer than the sender's.
 
 use crate::frames;
 use crate::node::Node;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 impl Node {
-    /// Answers one request of another controller.
+    /// Handles one request of another controller.
     pub async fn handle_peer_request(self: &Arc<Self>, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Hello {
@@ -28,8 +28,8 @@
                 self.handle_hello(&from, store_reachable, table_version, now)
             }
             PeerRequest::Heartbeats { from, heartbeats } => {
-                // Heartbeats whose answers the frame can't hold are ignored: their workers send
-                // the next ones soon.
+                // Heartbeats whose responses do not fit into the frame are ignored: their workers
+                // soon send the next ones.
                 let mut bytes = 0;
                 let answers = heartbeats.iter().map(|(heartbeat, run_times)| {
                     if bytes > limits::PEER_FRAME_ANSWERS_BYTES_MAX {
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Answers the hello of `from`, which reaches the state service or doesn't and has this
-    /// version of the admission table.
+    /// Handles the hello of controller `from`. `peer_reaches_store` tells whether that controller
+    /// reaches the key-value store, `table` is the version of its admission table.
     fn handle_hello(
         &self,
         from: &str,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Says hello to one peer, and takes in what it answers.
+    /// Sends a hello to one peer, and applies its response.
     pub(crate) async fn say_hello(&self, peer: &PeerClient) {
         let sent = self.now();
         let store_reachable = self.lock_state().store_contact.is_recent(sent);
--- a/crates/node/src/responses.rs
+++ b/crates/node/src/responses.rs
@@ -1,4 +1,4 @@
-//! The HTTP response to each outcome of a request: the one place that knows status codes.
+//! The HTTP response to each outcome of a request. Only this module contains status codes.
 
 use crate::node::Node;
 use cherrywood_control::trace_job;
@@ -11,34 +11,34 @@
 use cherrywood_wire::user::{JobState, JobStatus};
 use tracing::{Instrument as _, Span, debug};
 
-/// What became of a request of a user, a worker or the load balancer.
+/// Outcome of a request of a user, a worker or the load balancer.
 #[derive(Debug)]
 pub(crate) enum Outcome {
     /// This controller serves users.
     Ready,
     /// A new job was written in this state.
     Accepted { id: String, state: JobState },
-    /// A job that isn't over.
+    /// The job is not over.
     Live { id: String, done: u32, running: u32 },
-    /// A job that is over.
+    /// The job is over.
     Ended { id: String, value: FinalStateRecord },
-    /// A worker's heartbeat was answered.
+    /// A worker's heartbeat was accepted, with this response.
     HeartbeatAnswered(HeartbeatResponse),
-    /// A submission breaks the protocol, and why.
+    /// The submission violates the protocol, for this reason.
     Malformed(String),
-    /// A body that is no heartbeat.
+    /// The body is not a heartbeat.
     UnreadableHeartbeat,
-    /// No such path, or no such job.
+    /// The path or the job does not exist.
     NotFound,
-    /// The path exists, for another method.
+    /// The path exists, but not for this method.
     MethodNotAllowed,
-    /// This worker should send its heartbeats to the leader, which has this label.
+    /// The worker should send its heartbeats to the leader, which has this label.
     ReportToLeader(String),
-    /// The job can never run, and why.
+    /// The job can never run, for this reason.
     Infeasible(String),
-    /// Possible, but not now: there is no room for it.
+    /// The job can run, but there is no room for it now.
     NoRoom { retry_after_s: u64 },
-    /// It can't be served here and now; the client should come back later.
+    /// The request can't be served here and now; the client should retry later.
     Unavailable,
 }
 
@@ -51,8 +51,8 @@
         }
     }
 
-    /// The state service didn't serve a request that this one rests on (`what`). The user
-    /// gets a 503 at once: the request isn't repeated here.
+    /// The outcome if the key-value store did not serve a request that the user's request (`what`)
+    /// depends on. The user gets a 503 at once: the store's request is not sent again here.
     pub(crate) fn store_failed(node: &Node, what: &str, error: &NetError) -> Outcome {
         debug!(node = node.label(), what, %error, "state service request failed");
         Outcome::Unavailable
@@ -99,7 +99,7 @@
     }
 }
 
-/// A job's state, with its tasks done and running if they are known.
+/// The response with a job's state, and its numbers of tasks done and running if they are known.
 fn job_status(status: u16, id: String, state: JobState, counts: Option<(u32, u32)>) -> Response {
     let (done, running) = (counts.map(|c| c.0), counts.map(|c| c.1));
     let job_status = JobStatus {
@@ -115,7 +115,7 @@
     Response::new(status, encode(&ErrorResponse { error }))
 }
 
-/// The response to a request about one job, made inside `span` and traced there.
+/// Makes the response to a request about one job inside `span`, and traces it there.
 pub(crate) async fn respond_in_span(
     span: Span,
     id: &str,
--- a/crates/node/src/settings/error.rs
+++ b/crates/node/src/settings/error.rs
@@ -1,40 +1,40 @@
-//! Why settings can't be used: each in one line.
+//! Errors of the settings; each message is a single line.
 
 use cherrywood_scenario::file::FileError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why settings can't be used.
+/// Reason why settings can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The platform's file can't be read.
     #[error("{}: {error}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system says.
+        /// The operating system's error.
         error: io::Error,
     },
-    /// The platform's file isn't TOML of the expected form.
+    /// The platform's file is not TOML of the expected form.
     #[error("settings, line {line}: {message}")]
     Malformed {
-        /// The line of the mistake, from 1 on; 0 if unknown.
+        /// Line of the mistake, counted from 1; 0 if unknown.
         line: usize,
-        /// What is wrong there.
+        /// Description of the mistake.
         message: String,
     },
-    /// A number must be positive and finite, and isn't.
+    /// A number is not positive and finite.
     #[error("settings: {field} must be greater than 0")]
     NotPositive {
         /// The full name of the field.
         field: &'static str,
     },
-    /// Transactions may hold too few changes for this service to run.
+    /// The limit of changes in a transaction is too low for this service to run.
     #[error("settings: {field} must be at least {least}")]
     TooFewChanges {
         /// The full name of the field.
         field: &'static str,
-        /// The least number that is allowed.
+        /// Smallest number that is allowed.
         least: usize,
     },
     /// A cancelled task could outlive `cancel_s`, whatever the controllers do.
@@ -43,14 +43,14 @@
          beside lease_s {lease_s}, or cancelled tasks may outlive it"
     )]
     CancelTooShort {
-        /// `cancel_s` as found.
+        /// `cancel_s` in the settings.
         found_s: f64,
-        /// The shortest that is allowed.
+        /// Shortest `cancel_s` that is allowed with this lease.
         least_s: f64,
-        /// The workers' lease beside it.
+        /// The workers' lease, `lease_s`.
         lease_s: f64,
     },
-    /// The operators' file can't be read, or something in it is not allowed.
+    /// The operators' file can't be read, or contains a value that is not allowed.
     #[error(transparent)]
     Operator(#[from] FileError),
 }
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! Settings of a controller: the platform's TOML file and the operators' own YAML file. Both
-//! are read once, at the start.
+//! Settings of a controller: the platform's TOML file and the operators' own YAML file. Both are
+//! read once, when the process starts.
 
 mod error;
 mod operator;
@@ -15,14 +15,14 @@
 /// All settings of a controller.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// What the platform hands over.
+    /// Settings from the platform's file.
     pub platform: Platform,
-    /// What operators choose.
+    /// Settings from the operators' file.
     pub operator: Operator,
 }
 
 impl Settings {
-    /// Reads and checks both files; without an operators' file its defaults hold.
+    /// Reads and checks both files. Without an operators' file its defaults apply.
     pub fn load(platform: &Path, operator: Option<&Path>) -> Result<Settings, SettingsError> {
         let text =
             std::fs::read_to_string(platform).map_err(|error| SettingsError::Unreadable {
--- a/crates/node/src/settings/operator.rs
+++ b/crates/node/src/settings/operator.rs
@@ -1,56 +1,57 @@
-//! The operators' own file (YAML). Unknown fields are errors, since here a typing mistake is the
-//! likelier cause; every field has a default, the one that the service is designed for.
+//! The operators' own file (YAML). Unknown fields are errors, since a typing mistake is their
+//! likeliest cause in this file. Every field has a default, for which the service is designed.
 
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Least and most that a team may weigh.
+/// Smallest weight of a team.
 const WEIGHT_MIN: f64 = 0.1;
+/// Largest weight of a team.
 const WEIGHT_MAX: f64 = 10.0;
 
-/// The operators' own file. Every field has a default; unknown ones are
-/// errors, since here a typing mistake is the likelier cause.
+/// The operators' own file. Every field has a default; unknown fields are errors, since a typing
+/// mistake is their likeliest cause in this file.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
     /// Overrides the environment variable `LOG_LEVEL`.
     #[garde(skip)]
     pub log_level: Option<LogLevel>,
-    /// Never rent machines at the full price.
+    /// Rent only spot machines, never machines at the full price.
     #[garde(skip)]
     pub cheap_only: bool,
-    /// The order of service.
+    /// The order in which waiting tasks are served.
     #[garde(dive)]
     pub scheduler: Scheduler,
-    /// What is admitted under overload.
+    /// Admission of jobs under overload.
     #[garde(dive)]
     pub admission: Admission,
 }
 
-/// What is admitted when not all can be served (docs/admission.md).
+/// Admission of jobs when not all can be served (docs/admission.md).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Admission {
-    /// Refuse nothing for lack of room.
+    /// Refuse no job for lack of room.
     #[garde(skip)]
     pub off: bool,
-    /// Under-served classes of teams get a share of what comes free.
+    /// Give under-served classes of teams a share of the capacity that becomes free.
     #[garde(skip)]
     pub floors: bool,
-    /// Served share up to which every class of a team is served before guarantees.
+    /// Served share up to which every class of a team is served ahead of guarantees.
     #[garde(range(min = 0.0, max = 1.0))]
     pub floor: f64,
-    /// A team that weighs 2 is served twice the share of one that weighs 1.
+    /// Weights of teams: a team of weight 2 is served twice the share of a team of weight 1.
     #[garde(custom(check_weights))]
     pub weights: BTreeMap<String, f64>,
-    /// What is refused of a class that can't have all.
+    /// The jobs to refuse of a class that can't be served in full.
     #[garde(skip)]
     pub shed: Shed,
 }
 
-/// What is refused of a class that can't have all.
+/// The jobs to refuse of a class that can't be served in full.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Shed {
@@ -59,9 +60,9 @@
     Sizes,
     /// The largest jobs, all of them; for experiments.
     Largest,
-    /// Any, by the hash of their ids; for experiments.
+    /// Jobs chosen by the hash of their ids; for experiments.
     Random,
-    /// Whatever comes while there is no room; for experiments.
+    /// All jobs that arrive while there is no room; for experiments.
     Newest,
 }
 
@@ -90,14 +91,14 @@
     }
 }
 
-/// Rules of the order of service that experiments switch off.
+/// Rules for the order of service, which experiments can switch off.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scheduler {
-    /// Three levels by median estimate; else one, first come first served.
+    /// Use three levels by median estimate; if false, one level served first come, first served.
     #[garde(skip)]
     pub levels: bool,
-    /// How waiting tasks rise to the next level.
+    /// Rule by which waiting tasks rise to the next level.
     #[garde(skip)]
     pub aging: Aging,
 }
@@ -111,22 +112,22 @@
     }
 }
 
-/// How waiting tasks rise to the next level.
+/// Rule by which waiting tasks rise to the next level.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Aging {
-    /// The default: not while the level above is behind.
+    /// Tasks do not rise while the level above is behind (the default).
     #[default]
     Pausing,
-    /// Whatever the level above does.
+    /// Tasks rise regardless of the level above.
     Plain,
-    /// They stay in their level.
+    /// Tasks stay in their level.
     #[serde(rename = "none")]
     Off,
 }
 
 impl Operator {
-    /// The choices, in the terms of the control package.
+    /// These settings as the policy type of the control package.
     pub fn policy(&self) -> cherrywood_control::OperatorPolicy {
         use cherrywood_control::settings::{Aging as AgingPolicy, SheddingPolicy};
         cherrywood_control::OperatorPolicy {
@@ -153,22 +154,22 @@
     }
 }
 
-/// The least severe level that the log shows.
+/// The least severe level that is logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Errors alone.
+    /// Errors only.
     Error,
     /// Errors and warnings.
     Warn,
-    /// What happens, but for single requests.
+    /// Also events other than single requests.
     Info,
-    /// All, single requests too.
+    /// All events, including single requests.
     Debug,
 }
 
 impl LogLevel {
-    /// The level as the log's own library calls it.
+    /// The level's name in the logging library.
     pub fn name(self) -> &'static str {
         match self {
             LogLevel::Error => "error",
--- a/crates/node/src/settings/platform.rs
+++ b/crates/node/src/settings/platform.rs
@@ -1,42 +1,42 @@
-//! The file that the platform hands over (TOML).
+//! The platform's settings file (TOML).
 
 use super::SettingsError;
 use cherrywood_control::settings::Workers;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Fewest changes in a transaction with which this service can run.
+/// Lowest limit of changes in a transaction with which this service can run.
 const TXN_OPS_MIN: usize = 3;
 
 /// Another controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Member {
-    /// Its label.
+    /// Label of the controller.
     pub label: String,
-    /// Where it listens for controllers.
+    /// Address on which it listens for other controllers.
     pub endpoint: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// Addresses of the platform's services.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Services {
     /// The cloud's API.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// The state service, a key-value store.
     pub state: SocketAddr,
 }
 
-/// What the platform allows a controller's process.
+/// The platform's limits for a controller's process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Limits {
-    /// Open sockets.
+    /// Most open sockets.
     pub sockets: usize,
 }
 
 /// The deployment as all its controllers see it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Deployment {
-    /// Controllers in all.
+    /// Number of controllers.
     pub nodes: usize,
     /// Limits of each controller's process.
     pub limits: Limits,
@@ -45,19 +45,19 @@
     pub cluster: cherrywood_control::Settings,
 }
 
-/// The platform's file; fields it doesn't know are ignored.
+/// The platform's file; unknown fields are ignored.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Platform {
     /// This controller's label.
     pub label: String,
-    /// Where it listens for users and workers.
+    /// Address on which it listens for users and workers.
     pub serve_on: SocketAddr,
-    /// Where it listens for controllers.
+    /// Address on which it listens for other controllers.
     pub internal_addr: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     pub members: Vec<Member>,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub services: Services,
     /// The deployment.
     pub deployment: Deployment,
@@ -96,7 +96,7 @@
     }
 }
 
-/// One line: what is wrong, and the line it is on.
+/// The error for a malformed file, with the mistake's line and its description in one line.
 fn malformed(text: &str, error: &toml::de::Error) -> SettingsError {
     let line_at = |start: usize| text[..start.min(text.len())].lines().count();
     SettingsError::Malformed {
@@ -120,7 +120,7 @@
     }
 }
 
-/// The leases that a cancellation waits out must fit `cancel_s`.
+/// Checks that the leases that a cancellation waits out fit into `cancel_s`.
 fn check_cancel_time(workers: &Workers) -> Result<(), SettingsError> {
     let least_s = cherrywood_limits::min_cancel_s(workers.lease_s);
     if workers.cancel_s < least_s {
--- a/crates/node/src/state/final_states.rs
+++ b/crates/node/src/state/final_states.rs
@@ -1,11 +1,11 @@
-//! A cache of final states. A final state never changes, so an entry needs no check.
+//! A cache of final states. A final state never changes, so entries need no revalidation.
 
 use cherrywood_limits as limits;
 use cherrywood_wire::records::FinalStateRecord;
 use std::collections::{HashMap, VecDeque};
 
-/// How jobs ended: the newest entries, up to `FINAL_STATES_CACHED_MAX`; the oldest are
-/// dropped first.
+/// Final states of jobs: up to `FINAL_STATES_CACHED_MAX` entries, of which the oldest is evicted
+/// first.
 #[derive(Debug, Default)]
 pub struct FinalStateCache {
     by_job: HashMap<String, FinalStateRecord>,
@@ -13,17 +13,17 @@
 }
 
 impl FinalStateCache {
-    /// How this job ended, if that is known here.
+    /// The final state of this job, if it is cached.
     pub fn get(&self, id: &str) -> Option<&FinalStateRecord> {
         self.by_job.get(id)
     }
 
-    /// Is this job known to be over?
+    /// Whether the final state of this job is cached.
     pub fn contains(&self, id: &str) -> bool {
         self.by_job.contains_key(id)
     }
 
-    /// Notes how a job ended.
+    /// Adds the final state of a job.
     pub fn insert(&mut self, id: &str, value: FinalStateRecord) {
         if self.by_job.insert(id.to_string(), value).is_some() {
             return;
--- a/crates/node/src/state/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! What a controller knows, shared by its background tasks and request handlers.
+//! The mutable state of a controller, shared by its background tasks and request handlers.
 //!
-//! One lock guards it all ([`crate::node::Node::lock_state`]). It is held for moments only and
-//! never across an await, so a reader sees leadership, shard and caches of one instant.
+//! One lock guards the whole state ([`crate::node::Node::lock_state`]). It is held only briefly
+//! and never across an await, so a reader sees leadership, shard and caches of one instant.
 
 mod final_states;
 mod leader_contact;
@@ -19,23 +19,23 @@
 /// The mutable state of one controller, grouped by concern.
 #[derive(Debug, Default)]
 pub struct ControllerState {
-    /// The term that this controller leads, if it does.
+    /// The term in which this controller leads, if it leads.
     pub term: LeaderTerm,
-    /// The shard of machines whose heartbeats this controller may answer.
+    /// The shard of machines to whose heartbeats this controller may respond.
     pub shard: ShardOwner,
-    /// Who leads, and when that controller last answered this one.
+    /// The known leader, and the time of its last response.
     pub leader_contact: LeaderContact,
-    /// When this controller and its peers last reached the state service.
+    /// Times of the last contact of this controller and its peers with the key-value store.
     pub store_contact: StoreContact,
-    /// The cloud's offer of machine types; empty until it was read once.
+    /// Machine types that the cloud offers; empty until they have been read once.
     pub machine_types: Vec<MachineType>,
-    /// Jobs known to be over.
+    /// Cached final states of jobs.
     pub final_states: FinalStateCache,
 }
 
 impl ControllerState {
-    /// May the load balancer send users here? Not without the state service, nor right after
-    /// a failover, when heartbeats of the workers come first.
+    /// Whether the load balancer may send users here: not without the key-value store, nor right
+    /// after a failover, when heartbeats of the workers take precedence.
     pub fn is_ready(&self, now: f64) -> bool {
         self.store_contact.is_ready(now) && !self.term.is_settling(now)
     }
--- a/crates/node/src/state/store_contact.rs
+++ b/crates/node/src/state/store_contact.rs
@@ -1,43 +1,46 @@
-//! Contact with the state service, and the readiness that follows from it.
+//! Contact with the key-value store, and the readiness that follows from it.
 
 use cherrywood_limits as limits;
 
-/// When this controller and its peers last reached the state service. All times are s on this
-/// controller's clock; 0 stands for never.
+/// Times of the last contact of this controller and its peers with the key-value store. All times
+/// are in seconds on this controller's clock; 0 stands for never.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct StoreContact {
-    /// When the state service last answered this controller.
+    /// Time of the store's last response to this controller.
     pub last_answered_at: f64,
-    /// When it last answered any peer, by the peers' own hellos.
+    /// Time of the store's last response to any peer, as reported in the peers' hellos.
     pub peers_last_answered_at: f64,
-    /// When another controller was last heard.
+    /// Time of the last hello, or response to a hello, from another controller.
     pub peer_last_heard_at: f64,
-    /// There is no other controller.
+    /// Whether there is no other controller.
     pub is_sole_controller: bool,
 }
 
 impl StoreContact {
-    /// The state service answered a request that was sent, or whose answer came, at `at`.
+    /// Records that the key-value store responded to a request that was sent, or whose response
+    /// arrived, at `at`.
     pub fn answered(&mut self, at: f64) {
         self.last_answered_at = self.last_answered_at.max(at);
     }
 
-    /// A peer's hello says that the state service answers it, at `at` or later.
+    /// Records that, by a peer's hello, the key-value store responded to the peer at `at` or later.
     pub fn answered_peer(&mut self, at: f64) {
         self.peers_last_answered_at = self.peers_last_answered_at.max(at);
     }
 
-    /// Has the state service answered this controller recently enough to say so in hellos? A
-    /// process that has just started has no answer yet, whatever its clock says.
+    /// Whether the key-value store has responded to this controller recently enough to announce
+    /// it in hellos. A process that has just started has had no response yet, whatever its clock
+    /// shows.
     pub fn is_recent(&self, now: f64) -> bool {
         self.has_answered() && now - self.last_answered_at < limits::STORE_CONTACT_ANNOUNCED_S
     }
 
-    /// Can users be served here, or at least nowhere better?
+    /// Whether users can be served here, or at least no better elsewhere.
     ///
-    /// In an outage that no peer contradicts a controller stays ready; so does one that was
-    /// started during it, once it has heard peers. When such a controller was not ready, the
-    /// load balancer took it out, and it was missing for the first seconds after the outage.
+    /// In an outage that no peer contradicts a controller stays ready. A controller that was
+    /// started during the outage becomes ready once it has heard peers: if it were not ready, the
+    /// load balancer would take it out, and it would be missing for the first seconds after the
+    /// outage.
     pub fn is_ready(&self, now: f64) -> bool {
         if self.has_answered() {
             self.is_ready_after_contact(now)
@@ -55,13 +58,13 @@
             return true;
         }
         // A peer's contact shows that there is no outage only if it is clearly newer than the
-        // last answer here: in an outage all lose contact, and the last hello of each peer
-        // arrives a little later.
+        // last response here: in an outage all controllers lose contact, and the last hello of
+        // each peer arrives a little later.
         let later_s = self.peers_last_answered_at - self.last_answered_at;
         let refused_alone =
             self.peers_have_contact(now) && later_s > limits::STORE_CONTACT_PEER_LEAD_S;
-        // Where the others are silent as well, it is this controller that is cut off, and
-        // users are better off with any other; for a sole one there is no other.
+        // If the other controllers are silent as well, this controller is the one that is cut
+        // off, and users are better served by any other; a sole controller has no other.
         !refused_alone && (self.peers_are_heard(now) || self.is_sole_controller)
     }
 
--- a/crates/node/src/status_queries.rs
+++ b/crates/node/src/status_queries.rs
@@ -1,11 +1,11 @@
-//! Status queries that wait for an answer.
+//! Queue of status queries that wait for a response.
 //!
-//! Users may ask many times as often as usual, so those that wait share one request to the
-//! state service, sent after the last of them came: no answer is older than its query. Status
-//! queries have a lower priority than submissions, cancellations, leadership and placements,
-//! and a query that can't be answered gets its 503 at once.
+//! Users may send queries many times as often as usual, so waiting queries share one request to
+//! the key-value store, sent after the last of them arrived: no response is older than its query.
+//! Status queries have a lower priority than submissions, cancellations, leadership and
+//! placements, and a query that can't be served gets its 503 at once.
 //!
-//! [`crate::background::status_queries`] answers what is queued here.
+//! [`crate::background::status_queries`] responds to the queued queries.
 
 use crate::lock;
 use cherrywood_wire::records::FinalStateRecord;
@@ -14,10 +14,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::{Notify, oneshot};
 
-/// The answer to a status query.
+/// The result of a status query.
 #[derive(Debug)]
 pub enum QueryAnswer {
-    /// The job isn't over.
+    /// The job is not over.
     Live {
         /// Tasks that ended as done.
         done: u32,
@@ -26,44 +26,44 @@
     },
     /// The job is over.
     Ended(FinalStateRecord),
-    /// No controller ever accepted such a job.
+    /// No controller ever accepted the job.
     UnknownJob,
-    /// The state isn't known now; the user is asked to come back.
+    /// The job's state is not known now; the user is asked to retry later.
     Unavailable,
 }
 
-/// Who waits, by job.
+/// Channels of the waiting queries, by job id.
 pub type QueryBatch = BTreeMap<String, Vec<oneshot::Sender<QueryAnswer>>>;
 
 #[derive(Debug, Default)]
 struct Queue {
     waiting: QueryBatch,
-    /// The jobs in the order in which they were first asked about.
+    /// The jobs, in the order of their first waiting query.
     order: VecDeque<String>,
 }
 
-/// Status queries that wait for the next read of the state service.
+/// Status queries that wait for the next read of the key-value store.
 #[derive(Debug, Default)]
 pub struct StatusQueryQueue {
     queue: Mutex<Queue>,
     /// Notified while queries wait.
     pub(crate) due: Notify,
-    /// Answered with 503 since the log last said so.
+    /// Number of queries that got 503 since the last log line about them.
     refused: AtomicUsize,
 }
 
 impl StatusQueryQueue {
-    /// Queries refused since the last call.
+    /// Returns the number of queries refused since the last call.
     pub fn take_refused_count(&self) -> usize {
         self.refused.swap(0, Ordering::Relaxed)
     }
 
-    /// So many queries had to be answered with 503.
+    /// Counts this many queries as refused with 503.
     pub(crate) fn count_refused(&self, queries: usize) {
         self.refused.fetch_add(queries, Ordering::Relaxed);
     }
 
-    /// Waits for the state of this job.
+    /// Queues a query for this job's state and waits for its result.
     pub async fn query(&self, id: &str) -> QueryAnswer {
         let (answer, answered) = oneshot::channel();
         self.enqueue(id, answer);
@@ -71,7 +71,7 @@
         answered.await.unwrap_or(QueryAnswer::Unavailable)
     }
 
-    /// Queues one who waits for the state of this job, without a notification of `due`.
+    /// Queues a query for this job's state, without notifying `due`.
     pub fn enqueue(&self, id: &str, answer: oneshot::Sender<QueryAnswer>) {
         let mut queue = lock(&self.queue);
         let queue = &mut *queue;
@@ -82,13 +82,13 @@
         askers.push(answer);
     }
 
-    /// Takes at most `most` jobs with all who ask for them, those first that were asked about
-    /// first.
+    /// Takes at most `max_jobs` jobs with all their waiting queries, in the order of the jobs'
+    /// first waiting query.
     ///
-    /// When they were taken in the order of their ids, the last ones starved while more were
-    /// asked about than a comparison holds. In order of arrival a query waits only for the
-    /// batches before it, whatever others ask: `jobs asked about at once / most` times
-    /// `POLL_BATCH_INTERVAL_S`.
+    /// If jobs were taken in the order of their ids, the last ones would starve while queries
+    /// concern more jobs than a comparison can hold. In order of arrival a query waits only for
+    /// the batches before it, regardless of later queries: `jobs queried at once / max_jobs`
+    /// times `POLL_BATCH_INTERVAL_S`.
     pub fn take_batch(&self, most: usize) -> QueryBatch {
         let mut queue = lock(&self.queue);
         let queue = &mut *queue;
@@ -99,7 +99,7 @@
             let Some(mut askers) = queue.waiting.remove(&id) else {
                 continue;
             };
-            // Those who gave up don't count.
+            // Queries whose requests have ended do not count.
             askers.retain(|a| !a.is_closed());
             if !askers.is_empty() {
                 batch.insert(id, askers);
--- a/crates/node/src/submissions.rs
+++ b/crates/node/src/submissions.rs
@@ -1,8 +1,8 @@
 //! Submissions.
 //!
-//! A job that any controller ever accepted must never be refused later, whatever the controller
-//! that is asked now has read of machine types, settings or other jobs. So before a submission
-//! is refused, the state service must show that the job isn't known.
+//! A job that any controller ever accepted must never be refused later, whatever machine types,
+//! settings or other jobs the controller that handles the repeated submission has read. So before
+//! a submission is refused, the key-value store must show that the job is unknown.
 
 use crate::dependencies;
 use crate::feasibility::check_feasible;
@@ -21,13 +21,13 @@
 /// The state in which a new job is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum InitialState {
-    /// It waits for machines, or for the jobs that it needs.
+    /// The job waits for machines, or for its dependencies.
     Queued,
-    /// A job that it needs is cancelled, and so is this one from the start.
+    /// A dependency of the job is cancelled, so the job is cancelled from the start.
     Cancelled,
 }
 
-/// Answers `POST /submissions`.
+/// Handles `POST /submissions`.
 pub(crate) async fn submit(node: &Node, body: &[u8]) -> Response {
     let job = match Submission::decode(body) {
         Ok(job) => job,
@@ -45,7 +45,7 @@
     respond_in_span(span, &id, accept(node, job)).await
 }
 
-/// Accepts a well-formed submission, or tells why not.
+/// Accepts a well-formed submission, or returns the outcome that tells why it is not accepted.
 async fn accept(node: &Node, job: Submission) -> Outcome {
     if let Some(value) = node.lock_state().final_states.get(&job.id) {
         return Outcome::ended(&job.id, value);
@@ -63,7 +63,7 @@
         return accept_independent(node, &job).await;
     }
     // Jobs with dependencies bypass the admission filter: their dependencies were admitted, and
-    // would have run for nothing if these were refused.
+    // would have run for nothing if the jobs that depend on them were refused.
     match dependencies::check(node, &job).await {
         Ok(state) => commit(node, &job, state).await,
         Err(dependencies::Error::Store(e)) => Outcome::store_failed(node, "waits_on", &e),
@@ -71,7 +71,7 @@
     }
 }
 
-/// Accepts a job that needs no other, if there is room for it.
+/// Accepts a job without dependencies, if the admission filter admits it.
 async fn accept_independent(node: &Node, job: &Submission) -> Outcome {
     let decision = node.admission_filter.decide(job, node.now());
     let Decision::Refuse { retry_after_s } = decision else {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Writes the job, and tells its state.
+/// Writes the job's record, and returns the job's state.
 async fn commit(node: &Node, job: &Submission, state: InitialState) -> Outcome {
     let accepted_at_ms = node.host.wall_ms();
     let written = match state {
@@ -114,9 +114,9 @@
     }
 }
 
-/// The state of a job that was accepted before. The leader is asked for its counts first:
-/// the look-up, which decides the state, is last, so that nothing is waited for between it and
-/// the answer.
+/// The state of a job that was accepted before. The leader is asked for its task counts first.
+/// The look-up, which decides the state, comes last, so that nothing is awaited between it and
+/// the response.
 async fn repeated_submission(node: &Node, id: &str) -> Outcome {
     let counts = node.task_counts(&[id.to_string()]).await;
     match look_up(node, id, RequestPriority::Critical).await {
@@ -134,8 +134,9 @@
     }
 }
 
-/// The state of a job that is known; None if it isn't. All that wait share a read of the
-/// state service: under overload every submission without room is looked up here, too.
+/// The state of a known job; `None` if the job is unknown. Concurrent look-ups share one read of
+/// the key-value store: under overload, every submission that lacks room is looked up here as
+/// well.
 pub(crate) async fn known_state(node: &Node, id: &str) -> Option<Outcome> {
     match node.status_queries.query(id).await {
         QueryAnswer::Live { done, running } => Some(Outcome::Live {
@@ -149,7 +150,7 @@
     }
 }
 
-/// The refusal, if the job is proven unknown; else its state, or `Unavailable`.
+/// Returns the refusal if the job is proven unknown, else the job's state, or `Unavailable`.
 async fn unless_known(node: &Node, id: &str, refusal: Outcome) -> Outcome {
     known_state(node, id).await.unwrap_or(refusal)
 }
--- a/crates/node/src/task_counts.rs
+++ b/crates/node/src/task_counts.rs
@@ -1,5 +1,5 @@
-//! Tasks of a job that are done and running, as the leader counts them. For display only:
-//! whether a job is live, over or unknown is decided by the state service.
+//! Numbers of a job's tasks that are done and running, as the leader counts them. They are for
+//! display only: the key-value store decides whether a job is live, over or unknown.
 
 use crate::node::Node;
 use cherrywood_control::Leader;
@@ -7,18 +7,18 @@
 use cherrywood_limits as limits;
 use cherrywood_wire::peer::{PeerReply, PeerRequest};
 
-/// What the leader says of a live job's tasks.
+/// The leader's counts of a live job's tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskCounts {
-    /// So many are done and running; none of either where the leader couldn't be asked.
+    /// Numbers of tasks done and running; both are 0 if the leader could not be asked.
     Known {
         /// Tasks that ended as done.
         done: u32,
         /// Tasks that run now.
         running: u32,
     },
-    /// The job is being cancelled because a dependency was, and its final state isn't written
-    /// yet: users must not be answered that it is live, nor yet that it is cancelled.
+    /// The job is being cancelled because a dependency was cancelled, and its final state is not
+    /// written yet: users must be told neither that it is live nor, yet, that it is cancelled.
     Withheld,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The form in peer frames, where a value of its own stands for "withheld".
+/// Converts from the form in peer frames, in which a special value stands for "withheld".
 impl From<(u32, u32)> for TaskCounts {
     fn from(counts: (u32, u32)) -> Self {
         match counts {
@@ -41,7 +41,7 @@
     }
 }
 
-/// (done, running) of each job, as in a peer frame.
+/// The counts (done, running) of each job, in the form of peer frames.
 pub(crate) fn counted_by(leader: &Leader, jobs: &[String], now: f64) -> Vec<(u32, u32)> {
     jobs.iter()
         .map(|job| leader.task_counts(job, now).unwrap_or_default())
@@ -49,8 +49,8 @@
 }
 
 impl Node {
-    /// Counts of each of these jobs. A leader that has been silent for long isn't asked:
-    /// the caller would only wait for the timeout.
+    /// The task counts of each of these jobs. A leader that has been silent for long is not
+    /// asked: the caller would only wait for the timeout.
     pub(crate) async fn task_counts(&self, jobs: &[String]) -> Vec<TaskCounts> {
         let now = self.now();
         let leader_to_ask = {
--- a/crates/node/src/worker_client.rs
+++ b/crates/node/src/worker_client.rs
@@ -1,4 +1,4 @@
-//! Commands and status queries that a controller sends straight to workers, instead of waiting
+//! Commands and status queries that a controller sends directly to workers, instead of waiting
 //! for their next heartbeats.
 
 use crate::node::Node;
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The same for many machines (name, address, commands), all at once: one silent worker
-    /// must not hold up the others. One result for each, in order.
+    /// Sends commands of the leader to many machines (name, address, commands) concurrently: one
+    /// silent worker must not delay the others. Returns one outcome per machine, in order.
     pub(crate) async fn deliver_commands_to_all(
         self: &Arc<Self>,
         commands: Vec<(String, String, DirectCommands)>,
@@ -58,8 +58,8 @@
         deliveries
     }
 
-    /// Sends commands to a worker whose heartbeats don't arrive; returns the heartbeat with
-    /// which it answers, if it does.
+    /// Sends commands to a worker whose heartbeats do not arrive. Returns the heartbeat in its
+    /// response, if it responds.
     pub(crate) async fn command_silent_worker(
         &self,
         addr: &str,
@@ -69,7 +69,7 @@
         self.ask_worker(addr, "POST", "/orders", Some(&body)).await
     }
 
-    /// A worker's status, in the form of a heartbeat; None if it doesn't answer.
+    /// A worker's status, in the form of a heartbeat; `None` if the worker does not respond.
     pub(crate) async fn worker_status(&self, addr: &str) -> Option<Heartbeat> {
         self.ask_worker(addr, "GET", "/status", None).await
     }
--- a/crates/node/tests/admission_filter.rs
+++ b/crates/node/tests/admission_filter.rs
@@ -1,4 +1,4 @@
-//! The admission filter: which table counts, and which refusals controllers tell each other.
+//! The admission filter: the table in use, and the refusals that controllers send each other.
 
 mod common;
 
@@ -34,8 +34,8 @@
     }
 }
 
-/// A leader that stood still makes tables of its old term, also after the next
-/// leader's first: nobody goes back to them, in whatever order they come.
+/// A leader that stalled still computes tables of its old term, even after the next leader's first
+/// table: no controller returns to them, in whatever order the tables arrive.
 #[test]
 fn newest_table_wins_in_any_order_of_arrival() {
     let tables = [table(1, 90, 5.0), table(2, 1, 70.0), table(1, 91, 5.0)];
@@ -46,7 +46,7 @@
             .for_each(|i| filter.adopt_if_newer(&tables[*i]));
         assert_eq!(filter.table_version(), version(2, 1));
         assert_eq!(filter.decide(&job("wk-000001", 6), 0.0), Decision::Admit);
-        // It passes on what it has to whoever has an older one.
+        // The filter offers its table to peers with an older one.
         assert_eq!(
             filter.table_newer_than(version(1, 91)).map(|t| t.version()),
             Some(version(2, 1))
@@ -55,7 +55,7 @@
     }
 }
 
-/// Two controllers with the same table.
+/// The filters of two controllers with the same table.
 fn filters() -> (AdmissionFilter, AdmissionFilter) {
     let filters = (AdmissionFilter::new(true), AdmissionFilter::new(true));
     filters.0.adopt_if_newer(&table(1, 1, 100.0));
@@ -63,12 +63,12 @@
     filters
 }
 
-/// Refused at one controller, a job is known at all others after a hello: its
-/// waiting counts wherever it comes next, and each is told once.
+/// A job refused by one controller is known to its peers after a hello, so its waiting time counts
+/// at whichever controller it is submitted next. Each peer is told once.
 #[test]
 fn retry_at_another_controller_gets_the_same_decision() {
     let (here, there) = filters();
-    // 120 CPU seconds, let in after 12 s of waiting.
+    // 120 CPU seconds of work: admitted after 12 s of waiting.
     let refused = job("wk-000001", 12);
     assert!(matches!(
         here.decide(&refused, 50.0),
@@ -93,8 +93,8 @@
     assert_eq!(there.decide(&refused, 1063.0), Decision::Admit);
 }
 
-/// A peer that ended and was back before anybody missed it: what was told to its
-/// earlier self, and the one hello that met the new one, is told again.
+/// A peer restarts before any controller notices. Refusals that were sent to its earlier process,
+/// and in the first hello that reached the new process, are sent again.
 #[test]
 fn restarted_peer_is_told_all_refusals_again() {
     const EARLIER_PROCESS: u64 = 7;
@@ -104,7 +104,7 @@
     let news = here.refusals_to_tell("there", 50.5);
     here.refusals_acknowledged("there", EARLIER_PROCESS, news.next_sequence);
     here.record_refusal(&job("wk-000002", 12), 51.0);
-    // The next hello meets another process, which answers with its own number.
+    // The next hello reaches the new process, which responds with its own id.
     let news = here.refusals_to_tell("there", 51.5);
     assert_eq!(news.refused.len(), 1);
     restarted.record_peer_refusals(&news.refused, 51.5);
--- a/crates/node/tests/answer_consistency.rs
+++ b/crates/node/tests/answer_consistency.rs
@@ -1,6 +1,6 @@
-//! Answers to users are consistent while their requests meet each other, the end of a job,
-//! faults of the state service or a leader that doesn't answer: several controllers against
-//! one state service.
+//! Consistency of responses to users while requests coincide with other requests, the end of a
+//! job, faults of the key-value store or an unresponsive leader: several controllers against one
+//! key-value store.
 
 mod common;
 
@@ -27,10 +27,10 @@
     tokio::spawn(async move { at.submit(&job).await })
 }
 
-// --- answers are never older than confirmed changes ---
+// --- responses are never older than confirmed changes ---
 
-/// The leader took its time for the counts, and what was answered with them was as old as
-/// the request to the state service beside it.
+/// While the leader was slow to return task counts, the state in the response was as old as the
+/// request to the key-value store, which was sent at the same time.
 #[test]
 fn cancellation_confirmed_while_the_leader_is_asked_is_reported() {
     run(async {
@@ -44,7 +44,7 @@
                 false => spawn_query(&cluster, 0),
             };
             leader.asked.notified().await;
-            // The comparison beside it would be answered by now.
+            // A comparison sent together with the request for counts would have its response now.
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert_eq!(cluster.at(1).cancel(ID).await, 200);
             leader.answer.notify_one();
@@ -54,8 +54,8 @@
     });
 }
 
-/// Counts are for display: while the leader hangs they are missing, the answer is not,
-/// and once it has been silent for long nobody waits for it.
+/// Task counts are for display: while the leader hangs they are missing but the response is not,
+/// and once the leader has been silent for long no request waits for it.
 #[test]
 fn unresponsive_leader_costs_only_the_task_counts() {
     run(async {
@@ -76,8 +76,8 @@
     });
 }
 
-/// A transaction is carried out and only its answer is lost: whoever sent it doesn't know,
-/// and all others tell at once what it wrote, whatever is asked.
+/// A transaction is executed and only its response is lost: the sender does not know the outcome,
+/// and all other controllers immediately report what it wrote, for every kind of request.
 #[test]
 fn write_whose_reply_is_lost_is_reported_by_every_controller() {
     run(async {
@@ -96,7 +96,8 @@
         everywhere("Queued").await;
         cluster.store_faults.lose_answers_to(Some("drop"));
         let cancelled = spawn_cancel(&cluster, 0);
-        // Told by others while the one that was asked still waits for its answer.
+        // The other controllers report the cancellation while the one that sent it still waits
+        // for the store's response.
         tokio::time::sleep(Duration::from_millis(100)).await;
         for n in [1, 2] {
             assert_eq!(cluster.at(n).submit(&job).await, answer(200, "Cancelled"));
@@ -115,8 +116,8 @@
     tokio::spawn(async move { at.cancel(ID).await })
 }
 
-/// The state service refuses to write a cancellation: nobody tells of it, neither the one
-/// that was asked nor others, and the job may still end as done.
+/// The key-value store refuses to write a cancellation: no controller reports it, neither the one
+/// that handled the request nor the others, and the job may still end as done.
 #[test]
 fn refused_cancellation_is_reported_by_no_controller() {
     run(async {
@@ -139,9 +140,9 @@
 
 // --- a repeated submission is never refused ---
 
-/// Accepted at one controller, a job is known at all, also where what is read last says
-/// that it can never run: machine types that are gone, a team unknown to older settings,
-/// no types at all.
+/// A job that one controller accepted is known to all, even to a controller whose latest data says
+/// that it can never run: removed machine types, a team that older settings lack, no machine types
+/// at all.
 #[test]
 fn repeated_submission_returns_its_state_even_if_now_infeasible() {
     run(async {
@@ -159,7 +160,8 @@
         other.node.lock_state().machine_types[0].name = "m16".into();
         assert_eq!(other.submit(&spec).await, answer(200, "Queued"), "types");
         assert_eq!(other.submit(&new).await.0, 422);
-        // Nobody knows whether it is known: no refusal for good.
+        // While the store refuses requests it is not known whether the job was accepted, so the
+        // job is not refused for good.
         cluster.store_faults.refuse(&["/"]);
         assert_eq!(other.submit(&spec).await.0, 503);
         cluster.store_faults.refuse(&[]);
@@ -167,7 +169,7 @@
         assert_eq!(other.submit(&spec).await, answer(200, "Queued"), "no types");
         assert_eq!(other.submit(&new).await.0, 503);
         other.node.lock_state().machine_types = types();
-        // The same id, sent by a team that this controller's settings lack, or too large.
+        // The same id, with a team that this controller's settings lack, or with too many CPUs.
         for stranger in [
             Submission {
                 team: "x".into(),
@@ -186,8 +188,8 @@
     });
 }
 
-/// A job that an accepted one names is gone from the state service, or can't be named any
-/// more: the accepted one is known all the same.
+/// A dependency of an accepted job is gone from the key-value store, so that no new job may depend
+/// on it: the accepted job is still known.
 #[test]
 fn repeated_submission_returns_its_state_after_its_dependency_is_gone() {
     run(async {
@@ -208,8 +210,8 @@
     });
 }
 
-/// What another version accepted may be malformed to this one. A body without an id that
-/// can be read is refused by itself.
+/// A submission that another version accepted may be malformed for this one. A body without a
+/// readable id is refused without a look-up.
 #[test]
 fn repeated_submission_returns_its_state_even_if_now_malformed() {
     run(async {
@@ -243,7 +245,7 @@
     });
 }
 
-/// They ask the state service together, and the leader for nothing but that.
+/// Infeasible submissions are looked up together in at most two requests to the key-value store.
 #[test]
 fn infeasible_submissions_share_store_requests() {
     run(async {
@@ -268,16 +270,17 @@
     });
 }
 
-// --- everything at once ---
+// --- concurrent requests ---
 
-/// An answer about a job: when its request was sent and answered, and what it said.
+/// A response about a job, with the times of its request and its arrival.
 struct Observation {
     sent: Instant,
     at: Instant,
     answer: Answer,
 }
 
-/// Accepted is 0, over is 1; None tells nothing.
+/// Stage of the job according to a response: 0 if accepted, 1 if over; `None` if the response does
+/// not tell.
 fn stage(answer: &Answer) -> Option<u8> {
     match (answer.0, answer.1.as_str()) {
         (200 | 201, "Queued" | "Running") => Some(0),
@@ -286,8 +289,8 @@
     }
 }
 
-/// Nothing that was asked after an answer had come may be answered with anything older,
-/// and no final state may differ from another.
+/// Checks that no request sent after a response had arrived gets a response with an older state,
+/// and that all final states are the same.
 fn assert_consistent(seen: &[Observation]) {
     for first in seen {
         let Some(stage_of_first) = stage(&first.answer) else {
@@ -307,7 +310,7 @@
     }
 }
 
-/// What the leader writes when a job's last task has ended.
+/// Commits the final state that the leader writes when a job's last task is done.
 async fn commit_end_as_done(cluster: &TestCluster, id: &str) {
     use cherrywood_control::keys;
     use cherrywood_net::rate_limiter::RequestPriority;
@@ -341,8 +344,9 @@
     let _ = state.txn(&txn, RequestPriority::Critical).await;
 }
 
-/// Users poll and repeat at all controllers, some cancel, and the job ends, all within
-/// milliseconds of each other, while the state service is slow, refuses, or loses answers.
+/// Users query the job and repeat its submission at all controllers, some cancel it, and the job
+/// ends, all within milliseconds of each other, while the key-value store is slow, refuses
+/// requests, or loses responses.
 async fn exercise_job(cluster: &TestCluster, number: u64) {
     let spec = job(&format!("wk-{number:06}"), &[]);
     let id = spec.id.clone();
@@ -351,7 +355,8 @@
         let (at, spec, id) = (cluster.at(n), spec.clone(), id.clone());
         asks.push(tokio::spawn(async move {
             let mut seen = Vec::new();
-            // The first is the submission; others ask on while it is open.
+            // The first controller's first request is the submission; the other clients skip their
+            // first round and send requests while the submission is pending.
             for round in 0..12 {
                 let sent = Instant::now();
                 let answer = match (round + n) % 3 {
--- a/crates/node/tests/api.rs
+++ b/crates/node/tests/api.rs
@@ -1,4 +1,4 @@
-//! The status of each request.
+//! HTTP status of the response to each request.
 
 mod common;
 
--- a/crates/node/tests/chunked_values.rs
+++ b/crates/node/tests/chunked_values.rs
@@ -1,4 +1,4 @@
-//! Values that don't fit one record of the state service.
+//! Values that do not fit into one record of the key-value store.
 
 mod common;
 
@@ -11,8 +11,8 @@
 use cherrywood_wire::user::Submission;
 use common::*;
 
-/// A thousand jobs in one list, under values of 2 KB and 16 changes: in parts, read back
-/// whole, and written the same by a repeat after a writer that ended between two parts.
+/// A submission with a thousand dependencies, under limits of 2 KB per value and 16 changes per
+/// transaction, is written in chunks and read back whole. A repeated submission is recognised.
 #[test]
 fn submission_that_needs_a_thousand_jobs_is_stored_in_chunks() {
     run(async {
@@ -63,9 +63,9 @@
     }
 }
 
-/// The limits drop without notice while production may still have to read: the refused
-/// size is not tried again, what follows is in parts, and a reader finds the old or the
-/// new set whole, also after a writer that ended in the middle.
+/// The store's limits drop without notice while the version in production may still have to read
+/// the value. The refused size is not tried again, later values are written in chunks, and a
+/// reader finds the old or the new set whole, even after a writer that ended midway.
 #[test]
 fn values_are_chunked_when_store_limits_drop_and_are_read_whole() {
     run(async {
@@ -109,7 +109,7 @@
         assert_eq!(read().await, Some(histograms(2)));
         write(3).await.unwrap();
         assert_eq!(read().await, Some(histograms(3)));
-        // A writer that ends before the record that names its parts.
+        // A writer ends before it has written the record that names its chunks.
         let slot = cluster
             .node
             .store
@@ -126,7 +126,7 @@
         assert_eq!(read().await, Some(histograms(3)));
         write(4).await.unwrap();
         assert_eq!(read().await, Some(histograms(4)));
-        // The version before reads an empty value, and no error.
+        // The previous version reads an empty value rather than an error.
         #[derive(serde::Deserialize)]
         struct Old {
             pooled: String,
@@ -141,7 +141,8 @@
             .unwrap()
             .value;
         assert!(old.pooled.is_empty() && old.keys.is_empty());
-        // Lower than anybody said: smaller again, instead of the same for ever.
+        // The limits drop below the announced ones: the next write is made for the lower limits
+        // instead of repeating the refused one for ever.
         cluster.service.lock().unwrap().set_limits(allowed(1.0, 8));
         assert!(write(5).await.is_err());
         write(5).await.unwrap();
--- a/crates/node/tests/common/cluster.rs
+++ b/crates/node/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of controllers against one state service.
+//! A cluster of controllers against one key-value store.
 
 use super::store_faults::{StoreFaults, serve_store};
 use super::{Answer, FakeLeader, allowed, node_with, status_and_text, types};
@@ -33,15 +33,15 @@
 limits = { sockets = 700 }
 "#;
 
-/// Controllers against one state service on loopback.
+/// Controllers against one key-value store on loopback.
 pub struct TestCluster {
-    /// The first of the controllers.
+    /// The controller that requests of this cluster are sent to.
     pub node: Arc<Node>,
-    /// All of them.
+    /// All controllers.
     pub nodes: Vec<Arc<Node>>,
-    /// What the state service holds.
+    /// The key-value store.
     pub service: Arc<Mutex<StoreService>>,
-    /// What it does wrong.
+    /// Faults injected into the key-value store.
     pub store_faults: Arc<StoreFaults>,
 }
 
@@ -53,17 +53,17 @@
 }
 
 impl TestCluster {
-    /// One controller.
+    /// Starts one controller.
     pub async fn single() -> TestCluster {
         TestCluster::start(1, None).await
     }
 
-    /// So many controllers that know each other.
+    /// Starts `count` controllers that know each other.
     pub async fn of(count: usize) -> TestCluster {
         TestCluster::start(count, None).await
     }
 
-    /// The same, and this leader.
+    /// Starts `count` controllers that know each other and take `leader` for the leader.
     pub async fn led_by(leader: &FakeLeader, count: usize) -> TestCluster {
         TestCluster::start(count, Some(leader)).await
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// One of the controllers, as if there were no other.
+    /// The same cluster, with requests sent to controller `n`.
     pub fn at(&self, n: usize) -> TestCluster {
         TestCluster {
             node: self.nodes[n].clone(),
@@ -123,14 +123,14 @@
         }
     }
 
-    /// Asks for the state of a job.
+    /// Queries the state of a job.
     pub async fn query(&self, id: &str) -> Answer {
         let (method, path) = ("GET".to_string(), format!("/submissions/{id}"));
         let body = Vec::new();
         status_and_text(&api::answer(&self.node, Request { method, path, body }).await)
     }
 
-    /// Sends a request with this body.
+    /// Sends a POST request with this body.
     pub async fn post(&self, path: &str, body: Vec<u8>) -> Response {
         let (method, path) = ("POST".to_string(), path.to_string());
         api::answer(&self.node, Request { method, path, body }).await
@@ -141,18 +141,18 @@
         status_and_text(&self.post("/submissions", encode(job)).await)
     }
 
-    /// Cancels a job; the status.
+    /// Cancels a job, and returns the response's status.
     pub async fn cancel(&self, id: &str) -> u16 {
         let path = format!("/submissions/{id}/cancel");
         self.post(&path, Vec::new()).await.status
     }
 
-    /// Deletes a record of the state service.
+    /// Deletes a record in the key-value store.
     pub async fn delete_record(&self, key: &str) {
         self.apply(Change::Delete { key: key.into() }).await;
     }
 
-    /// Writes a record of the state service.
+    /// Writes a record in the key-value store.
     pub async fn put_record(&self, key: &str, value: StoredRecord) {
         let (key, lease) = (key.to_string(), None);
         self.apply(Change::Put { key, value, lease }).await;
--- a/crates/node/tests/common/fake_leader.rs
+++ b/crates/node/tests/common/fake_leader.rs
@@ -6,19 +6,19 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// A controller that answers requests for task counts when the test lets it. The others take
-/// it for the leader.
+/// A controller that responds to requests for task counts when the test permits it. The other
+/// controllers take it for the leader.
 pub struct FakeLeader {
-    /// Where it listens for controllers.
+    /// Address on which it listens for other controllers.
     pub addr: SocketAddr,
-    /// A question for counts has come.
+    /// Notified when a request for task counts has arrived.
+    /// Permits the response to one request: no task done, one task running.
     pub asked: Arc<Notify>,
-    /// Lets one question have its answer: nothing done, one task running.
     pub answer: Arc<Notify>,
 }
 
 impl FakeLeader {
-    /// Its label among the members.
+    /// Label of the fake leader in the members' settings.
     pub const LABEL: &str = "n9";
 
     pub async fn start() -> FakeLeader {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What several tests of controllers share: settings, jobs, a cluster of controllers against
-//! one state service with faults, and a stand-in for a leader.
+//! Helpers shared by the controller tests: settings, jobs, a cluster of controllers against one
+//! key-value store with fault injection, and a stand-in for the leader.
 #![allow(dead_code, unused_imports)]
 
 mod cluster;
@@ -22,7 +22,7 @@
 use cherrywood_wire::user::{JobKind, JobStatus, Priority, Submission};
 use std::time::Duration;
 
-/// Settings of a controller whose state service and peer refuse connections.
+/// Settings of a controller whose key-value store and peer refuse connections.
 pub const EXAMPLE: &str = r#"
 label = "n0"
 zone = "z0"
@@ -61,25 +61,25 @@
 sockets = 700
 "#;
 
-/// A controller with the settings of [`EXAMPLE`].
+/// Creates a controller with the settings of [`EXAMPLE`].
 pub fn example() -> Node {
     node_with(EXAMPLE)
 }
 
-/// A controller with these settings of the platform, and the operators' defaults.
+/// Creates a controller with these platform settings and the operators' defaults.
 pub fn node_with(platform: &str) -> Node {
     let platform = Settings::platform(platform).unwrap();
     let operator = Operator::default();
     Node::new(Runtime::native(), Settings { platform, operator })
 }
 
-/// Sends it one request.
+/// Sends one request to a controller.
 pub fn ask(node: &Node, method: &str, path: &str, body: Vec<u8>) -> Response {
     let (method, path) = (method.to_string(), path.to_string());
     run(api::answer(node, Request { method, path, body }))
 }
 
-/// What the state service allows.
+/// Limits of the key-value store, with high request rates.
 pub fn allowed(value_kb: f64, txn_ops: usize) -> ServiceLimits {
     ServiceLimits {
         rps: 9000.0,
@@ -89,7 +89,7 @@
     }
 }
 
-/// One machine type that takes four of the jobs below.
+/// One machine type, on which four tasks of [`job`] fit.
 pub fn types() -> Vec<MachineType> {
     vec![MachineType {
         name: "m8".into(),
@@ -105,17 +105,17 @@
     }]
 }
 
-/// The status of a response, with the job's state or the reason of a refusal.
+/// Status of a response, with the job's state or the reason of a refusal.
 pub type Answer = (u16, String);
 
-/// What a user reads in a response.
+/// The status of a response, with the job's state or the reason of a refusal.
 pub fn status_and_text(response: &Response) -> Answer {
     let state = decode::<JobStatus>(&response.body).map(|s| format!("{:?}", s.state));
     let why = decode::<ErrorResponse>(&response.body).map(|r| r.error);
     (response.status, state.or(why).unwrap_or_default())
 }
 
-/// An array of one task of team `t` that waits for the jobs that it needs.
+/// An array of one task of team `t` with these dependencies.
 pub fn job(id: &str, needs: &[&str]) -> Submission {
     Submission {
         id: id.into(),
@@ -142,7 +142,7 @@
     }
 }
 
-/// Runs a test's future on a runtime of its own, as a controller's process does.
+/// Runs a test's future on its own single-threaded runtime, as a controller's process does.
 pub fn run<T>(of: impl Future<Output = T>) -> T {
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -151,7 +151,8 @@
     rt.block_on(of)
 }
 
-/// Looks again and again until it holds, for `most_s` at most; false if it never did.
+/// Checks a condition every 20 ms until it holds, for about `timeout_s`. Returns false if it
+/// never held.
 pub async fn eventually(most_s: f64, mut holds: impl FnMut() -> bool) -> bool {
     for _ in 0..(most_s * 50.0) as u32 {
         if holds() {
--- a/crates/node/tests/common/store_faults.rs
+++ b/crates/node/tests/common/store_faults.rs
@@ -1,5 +1,5 @@
-//! A state service on loopback which can be told to refuse what is asked of it, to leave it
-//! without an answer, or to carry it out and lose its answer.
+//! A key-value store on loopback with fault injection: it can refuse requests, leave them without
+//! a response, or execute them and lose the response.
 
 use cherrywood_net::server::{self, Request, Response};
 use cherrywood_net::{Listener, Runtime};
@@ -9,10 +9,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Which requests to the state service meet a fault.
+/// Pattern of the requests to the key-value store that meet a fault.
 struct RequestPattern {
     path_prefix: String,
-    /// Empty for any.
+    /// Text that the body must contain; empty if any body matches.
     body_contains: String,
 }
 
@@ -25,28 +25,28 @@
     }
 }
 
-/// Faults of the state service, set by a test while it serves.
+/// Faults of the key-value store, set by a test while the store serves.
 #[derive(Default)]
 pub struct StoreFaults {
     refused: Mutex<Vec<RequestPattern>>,
     hanging: Mutex<Vec<RequestPattern>>,
     reply_lost: Mutex<Vec<RequestPattern>>,
-    /// Requests that came, carried out or not.
+    /// Number of requests that arrived, whether executed or not.
     pub requests: AtomicUsize,
-    /// The paths of all requests.
+    /// Paths of all requests.
     paths: Mutex<Vec<String>>,
-    /// Requests that are slow, refused, or carried out without an answer, of a hundred.
+    /// Percentages of requests that are slow, refused, or executed without a response.
     shares: Mutex<FaultShares>,
 }
 
-/// Of a hundred requests, how many are drawn for each fault.
+/// Percentage of requests drawn for each fault.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FaultShares {
-    /// Answered up to 0.2 s late.
+    /// Requests whose response is delayed by up to 0.2 s.
     pub slow: u64,
-    /// Answered 503.
+    /// Requests that get 503.
     pub refused: u64,
-    /// Carried out, and never answered.
+    /// Requests that are executed and get no response in time.
     pub lost: u64,
 }
 
@@ -63,17 +63,17 @@
         list.lock().unwrap().iter().any(|p| p.matches(request))
     }
 
-    /// Requests to these paths are answered 503.
+    /// Refuses requests to these paths with 503.
     pub fn refuse(&self, paths: &[&str]) {
         Self::set(&self.refused, paths);
     }
 
-    /// Requests to these paths get no answer until they are let go.
+    /// Leaves requests to these paths without a response until they are removed from the list.
     pub fn hang(&self, paths: &[&str]) {
         Self::set(&self.hanging, paths);
     }
 
-    /// Transactions whose body contains this text are carried out; the answer is lost.
+    /// Executes transactions whose body contains this text, and loses their responses.
     pub fn lose_answers_to(&self, text: Option<&str>) {
         let pattern = text.map(|text| RequestPattern {
             path_prefix: "/txn".to_string(),
@@ -82,17 +82,17 @@
         *self.reply_lost.lock().unwrap() = pattern.into_iter().collect();
     }
 
-    /// From now on requests drawn at random meet faults.
+    /// Injects faults into randomly drawn requests from now on.
     pub fn draw_faults(&self, shares: FaultShares) {
         *self.shares.lock().unwrap() = shares;
     }
 
-    /// Requests so far, carried out or not.
+    /// Number of requests so far, whether executed or not.
     pub fn count(&self) -> usize {
         self.requests.load(Ordering::Relaxed)
     }
 
-    /// How many came whose path begins like this.
+    /// Number of requests so far whose path begins with `path_prefix`.
     pub fn count_of(&self, path: &str) -> usize {
         let paths = self.paths.lock().unwrap();
         paths.iter().filter(|p| p.starts_with(path)).count()
@@ -103,13 +103,13 @@
     tokio::time::sleep(Duration::from_millis(10)).await;
 }
 
-/// Longer than anybody waits for the state service.
+/// Responds later than any controller waits for the key-value store.
 async fn lost_reply() -> Response {
     tokio::time::sleep(Duration::from_secs(3)).await;
     Response::busy()
 }
 
-/// The state service behind its faults.
+/// The key-value store with its injected faults.
 struct FaultyStore {
     host: Runtime,
     service: Arc<Mutex<StoreService>>,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Answers a watch once something changed or its time is over.
+    /// Responds to a watch once a watched record has changed or the hold time is over.
     async fn hold(&self, request: &Request, watch: &HeldWatch) -> Response {
         let until = self.host.now() + watch.hold_ms as f64 / 1000.0;
         loop {
@@ -158,13 +158,13 @@
         }
     }
 
-    /// Is this request among so many of a hundred?
+    /// Draws whether a request meets a fault of this percentage.
     fn draw(&self, share: u64) -> bool {
         self.host.random() % 100 < share
     }
 }
 
-/// Serves the state service, with these faults.
+/// Serves the key-value store with these faults.
 pub fn serve_store(
     host: &Runtime,
     listener: Listener,
--- a/crates/node/tests/compound_failures.rs
+++ b/crates/node/tests/compound_failures.rs
@@ -1,5 +1,5 @@
-//! A leader whose state service does part of what it is asked: what its right to act rests on,
-//! beside a lease that is renewed all the while.
+//! A leader whose key-value store serves only some requests: conditions of the leader's right to
+//! act besides its lease, which is renewed throughout.
 
 mod common;
 
@@ -42,7 +42,8 @@
     }
 }
 
-/// Its submission fits no value, so that it stands in chunks beside its record.
+/// A job whose submission is too large for one value, so that it is stored in chunks beside its
+/// record.
 fn chunked_job(id: &str) -> Submission {
     let kinds = (0..3000).map(|n| format!("kind-{n:08}"));
     Submission {
@@ -51,8 +52,8 @@
     }
 }
 
-/// A record whose chunks could not be read kept all that came after it from the leader,
-/// cancellations too, for as long as that lasted, while its lease was renewed.
+/// While the chunks of a submission could not be read, all later changes, cancellations included,
+/// did not reach the leader, although its lease was renewed.
 #[test]
 fn unreadable_submission_keeps_no_cancellation_from_the_leader() {
     run(async {
@@ -67,7 +68,7 @@
             "cancelled"
         );
         assert!(!cluster.leader_knows("wk-000002") && cluster.may_act());
-        // Over before it could be read, or read at last.
+        // One chunked job is cancelled before it can be read, the other is read later.
         assert_eq!(cluster.submit(&chunked_job("wk-000003")).await.0, 201);
         assert_eq!(cluster.cancel("wk-000003").await, 200);
         cluster.store_faults.refuse(&[]);
@@ -80,8 +81,9 @@
     });
 }
 
-/// The watch hangs while the lease is renewed: nothing is answered past the view's time, a
-/// hello renews no shard, and leadership is given up for another that may see more.
+/// The watch hangs while the lease is renewed. Once the view of cancellations is too old the
+/// leader may not act, its responses to hellos renew no shard lease, and it gives up leadership
+/// for another controller that may have a newer view.
 #[test]
 fn hanging_watch_ends_the_right_to_act() {
     run(async {
@@ -121,8 +123,8 @@
     });
 }
 
-/// A new leader read all jobs at its takeover and once more for its watch, in the seconds in
-/// which every worker reports to it.
+/// A new leader read all jobs during recovery and again for its watch, in the seconds in which
+/// every worker sends it a heartbeat.
 #[test]
 fn failover_reads_all_jobs_once_and_the_watch_continues_from_there() {
     run(async {
--- a/crates/node/tests/dependencies.rs
+++ b/crates/node/tests/dependencies.rs
@@ -1,4 +1,4 @@
-//! Submissions that need other jobs.
+//! Submissions of jobs with dependencies.
 
 mod common;
 
@@ -20,7 +20,8 @@
             ..job("wk-000002", &["wk-000001", "wk-000001"])
         };
         assert_eq!(cluster.submit(&other).await, queued);
-        // Never accepted, the job itself, and one beside others that were.
+        // Dependency that was never accepted, the job itself, and a dependency that was never
+        // accepted beside an accepted one.
         for (id, needs) in [
             ("wk-000003", &["wk-000009"][..]),
             ("wk-000003", &["wk-000003"]),
@@ -38,9 +39,9 @@
         assert_eq!(cluster.submit(&standing).await, queued);
         let (status, why) = cluster.submit(&job("wk-000005", &["wk-000004"])).await;
         assert!(status == 422 && why.contains("standing"), "{why}");
-        // Done years before, by whatever version.
         let ended = JobState::Done;
         let (tasks, at_ms) = (1, None);
+        // A dependency that ended long ago, written by an earlier version.
         let done = FinalStateRecord {
             state: ended,
             tasks,
@@ -51,8 +52,8 @@
             .await;
         let long_after = job("wk-000007", &["wk-000006"]);
         assert_eq!(cluster.submit(&long_after).await, queued);
-        // If it can't be asked nothing is refused for good, and a repeat of what was
-        // accepted is that before anything else is looked at.
+        // While the key-value store refuses requests, no submission is refused for good. A
+        // repeated submission of an accepted job is recognised before any other check.
         cluster.store_faults.refuse(&["/"]);
         assert_eq!(
             cluster.submit(&job("wk-000008", &["wk-000009"])).await.0,
@@ -84,8 +85,8 @@
     });
 }
 
-/// Long after its user was told, a job that names a cancelled one was called queued by
-/// the answer to its own submission.
+/// The response to a submission whose dependency was cancelled said queued, long after the user
+/// had been told of the cancellation.
 #[test]
 fn job_that_needs_a_cancelled_one_is_accepted_as_cancelled() {
     run(async {
@@ -97,7 +98,7 @@
         let cancelled = "Cancelled".to_string();
         assert_eq!(cluster.submit(&named).await, (201, cancelled.clone()));
         assert_eq!(cluster.submit(&named).await, (200, cancelled.clone()));
-        // Another controller knows only what is committed.
+        // Without its cache the controller knows only committed final states, like any other.
         let next = Submission {
             id: "wk-000004".into(),
             ..job("", &["wk-000003"])
--- a/crates/node/tests/direct_commands.rs
+++ b/crates/node/tests/direct_commands.rs
@@ -1,5 +1,5 @@
-//! What the leader sends straight to workers: stops where no heartbeat comes any more, and
-//! questions where heartbeats look old.
+//! Requests that the leader sends directly to workers: stops to workers whose heartbeats no
+//! longer arrive, and status queries to workers whose heartbeats look outdated.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A worker that carries out direct commands, and sends heartbeats when the test says so.
+/// A worker that executes direct commands, and sends heartbeats when the test tells it to.
 #[derive(Default)]
 struct Worker {
     addr: String,
@@ -104,7 +104,8 @@
     worker
 }
 
-/// One heartbeat, and what its answer makes of the worker; its status.
+/// Sends one heartbeat, has the worker execute the commands in the response, and returns the
+/// response's status.
 async fn send_heartbeat(cluster: &TestCluster, worker: &Arc<Mutex<Worker>>) -> u16 {
     let heartbeat = worker.lock().unwrap().heartbeat();
     let answer = cluster.post("/agent/beat", encode(&heartbeat)).await;
@@ -119,14 +120,15 @@
     answer.status
 }
 
-/// Do heartbeats of the worker reach a controller?
+/// Whether heartbeats of the worker reach a controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Heartbeats {
     Sent,
     Lost,
 }
 
-/// Looks every 0.3 s until it holds, for 12 s at most, with a heartbeat each time.
+/// Checks a condition every 0.3 s until it holds, for at most 12 s. Sends a heartbeat each time
+/// unless `heartbeats` are lost. Returns false if the condition never held.
 async fn eventually(
     cluster: &TestCluster,
     worker: &Arc<Mutex<Worker>>,
@@ -145,7 +147,7 @@
     holds()
 }
 
-/// Its heartbeats reach nobody, and direct commands reach it.
+/// The worker's heartbeats reach no controller, but direct commands reach the worker.
 #[test]
 fn silent_machine_is_sent_the_stops_of_cancelled_tasks() {
     run(async {
@@ -176,7 +178,8 @@
     });
 }
 
-/// Its numbers begin anew, and look older than those before its restart.
+/// The incarnation and sequence of a restarted worker begin anew, and look older than those
+/// before its restart.
 #[test]
 fn restarted_worker_is_asked_and_gets_work_again() {
     run(async {
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -1,9 +1,10 @@
-//! When a controller tells the load balancer that it is ready.
+//! Readiness of a controller, as reported to the load balancer.
 
 use cherrywood_node::state::StoreContact;
 
-/// A controller that starts while the state service is down for all is as ready as those that
-/// were there before; where only it is refused, or no peer was heard, it is not.
+/// A controller that starts while the key-value store is down for all controllers is as ready as
+/// those that were running before. It is not ready if the store refuses only this controller, or
+/// if no peer has been heard.
 #[test]
 fn controller_started_during_an_outage_is_ready_once_peers_are_heard() {
     let new = StoreContact::default();
@@ -37,8 +38,8 @@
     assert!(contact.is_ready(12.9) && !contact.is_ready(13.1));
     contact.peers_last_answered_at = 9.0;
     assert!(contact.is_ready(13.1), "an outage for all");
-    // Cut off from the state service and from the others, but not from users and
-    // workers: it called that an outage, and answered users with 503 for as long.
+    // A controller that is cut off from the key-value store and from its peers, but not from users
+    // and workers, took that for an outage, and responded to users with 503 for as long.
     contact.peer_last_heard_at = 9.0;
     assert!(!contact.is_ready(13.1), "cut off, alone of all");
     contact.is_sole_controller = true;
@@ -46,14 +47,14 @@
 }
 
 /// Exchanges hellos ten times a second from 10 s on, between a controller that reaches the
-/// state service until `here_until` and one that does until `there_until`. The moments at
-/// which the first is not ready, s.
+/// key-value store until `here_until` and one that reaches it until `there_until`. Returns the
+/// times (s) at which the first controller is not ready.
 fn unready_moments(here_until: f64, there_until: f64) -> Vec<f64> {
     let (mut here, mut there) = (StoreContact::default(), StoreContact::default());
     let mut found = Vec::new();
     for tenth in 100..400 {
         let now = f64::from(tenth) / 10.0;
-        // A look at the election each half second.
+        // Each controller reads the leader's key every half second.
         if tenth % 5 == 0 && now <= here_until {
             here.last_answered_at = now;
         }
@@ -74,8 +75,8 @@
     found
 }
 
-/// From 3 s to 6 s of every outage each controller took the others' last report for a contact
-/// of theirs: all left the load balancer, and each time for longer.
+/// From 3 s to 6 s of every outage each controller took its peers' last hellos for contact with
+/// the key-value store: the load balancer took out all controllers, for longer each time.
 #[test]
 fn outage_for_all_leaves_every_controller_ready() {
     for more in [0.0, 0.2, 0.4, 0.6, 0.8] {
--- a/crates/node/tests/recovery.rs
+++ b/crates/node/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a controller needs to have read before it leads.
+//! Records that a controller must be able to read before it leads.
 
 mod common;
 
@@ -13,9 +13,10 @@
 use common::*;
 use std::time::Duration;
 
-/// s within which a controller without a competitor leads, its pause included.
+/// Seconds within which a controller without a competitor leads, including its pause after a
+/// failed recovery.
 const ELECTED_WITHIN_S: f64 = 5.0 + 2.0 * limits::UNREADABLE_STATE_PAUSE_S;
-/// Recoveries that are watched while an entry can't be read.
+/// Recoveries that are observed while a ledger entry can't be read.
 const RECOVERIES: usize = 3;
 
 fn leads(cluster: &TestCluster) -> bool {
@@ -46,12 +47,13 @@
 const MACHINE: &str = "vm-000001";
 const JOB: &str = "wk-000001";
 const ATTEMPT: u64 = 1;
-/// Answered heartbeats that are watched.
+/// Heartbeats, each with a response, that are observed.
 const HEARTBEATS: u64 = 3;
-/// Answered heartbeats, 0.1 s apart, within which a stop comes after a cancellation.
+/// Heartbeats, each with a response, 0.1 s apart, within which a stop arrives after a
+/// cancellation.
 const HEARTBEATS_UNTIL_STOPPED: u64 = 20;
 
-/// An entry that places the one task of [`JOB`] on [`MACHINE`].
+/// A ledger entry that places the only task of [`JOB`] on [`MACHINE`].
 fn ledger_entry() -> PlacementLogRecord {
     PlacementLogRecord {
         jobs: vec![LoggedJob {
@@ -71,7 +73,7 @@
     }
 }
 
-/// A heartbeat of [`MACHINE`], on which the task runs.
+/// A heartbeat of [`MACHINE`], on which the task of [`JOB`] runs.
 fn heartbeat(sequence: u64, fencing_token: u64) -> Heartbeat {
     Heartbeat {
         machine: MACHINE.into(),
@@ -93,7 +95,7 @@
     }
 }
 
-/// A worker on which the task runs.
+/// A worker on which the task runs, and which sends heartbeats to the cluster.
 struct Reporting<'a> {
     cluster: &'a TestCluster,
     sequence: u64,
@@ -109,7 +111,7 @@
         }
     }
 
-    /// The commands in the response to the next heartbeat.
+    /// Sends the next heartbeat and returns the commands in its response.
     async fn next_commands(&mut self) -> Vec<Command> {
         tokio::time::sleep(Duration::from_millis(100)).await;
         self.sequence += 1;
@@ -122,7 +124,7 @@
     }
 }
 
-/// A leader that recovered the placement of a job whose record it can't read.
+/// A cluster whose leader has recovered the placement of a job whose record it can't read.
 async fn cluster_with_unreadable_job() -> TestCluster {
     let cluster = TestCluster::single().await;
     let entry = StoredRecord::PlacementLog(ledger_entry());
@@ -139,7 +141,7 @@
     matches!(command, Command::Stop { .. })
 }
 
-/// An accepted job whose record a controller can't read was taken for one that is over.
+/// An accepted job whose record a controller could not read was taken for a job that is over.
 #[test]
 fn tasks_of_a_job_whose_record_cannot_be_read_are_not_stopped() {
     run(async {
@@ -154,7 +156,8 @@
     });
 }
 
-/// What goes on unread must still end when its user says so.
+/// Tasks of a job whose record can't be read keep running, but must stop when the user cancels
+/// the job.
 #[test]
 fn tasks_of_a_cancelled_job_whose_record_cannot_be_read_are_stopped() {
     run(async {
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings and the operators' own: what is read, and what is refused.
+//! The platform's and the operators' settings: accepted and refused files.
 
 mod common;
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// The limits of a later moment, some of them or none: from the start the smaller
-/// of both are kept to.
+/// The settings may announce some, all or none of the key-value store's later limits. From the
+/// start, the smaller of the present and the later limit is observed.
 #[test]
 fn next_limits_may_be_partial_or_absent() {
     let kept = |next: &str| {
@@ -49,8 +49,8 @@
     assert_eq!(larger, (200.0, 80.0, 32 * 1024, 16));
 }
 
-/// A guest team has no guarantee and no limit; a limit of 0 was once taken
-/// literally, and every job of the guest was answered with 422.
+/// A guest team has no guarantee and no limit. When a limit of 0 was taken literally, every job of
+/// the guest team was refused with 422.
 #[test]
 fn team_limit_of_zero_or_none_is_unlimited() {
     for (given, want) in [
--- a/crates/node/tests/size.rs
+++ b/crates/node/tests/size.rs
@@ -1,4 +1,4 @@
-//! What controllers tell each other at 4,000 machines and more, over real frames.
+//! Frames between controllers, stored values and responses at the size of 4,000 to 5,000 machines.
 
 mod common;
 
@@ -57,6 +57,7 @@
     }
 }
 
+/// Waits until a condition holds, and panics if it does not hold within 20 s.
 async fn until(what: &str, mut is_so: impl FnMut() -> bool) {
     for _ in 0..1_000 {
         if is_so() {
@@ -67,8 +68,8 @@
     panic!("not within 20 s: {what}");
 }
 
-/// All machines report at once to this controller, as after a moment in which it stood
-/// still; those that get no answer do again. How many were answered.
+/// All machines send heartbeats to this controller at once, as after a stall of the controller.
+/// Machines that get no response send again. Returns the number of machines that got a response.
 async fn all_report(node: &Arc<Node>, seq: u64) -> usize {
     let mut unanswered: Vec<usize> = (0..MACHINES).collect();
     for again in 0..8 {
@@ -91,8 +92,8 @@
     MACHINES - unanswered.len()
 }
 
-/// With names of this length a frame of 3,000 heartbeats from idle machines was larger than a
-/// frame may be, and none of them was ever answered. A hello then names the whole shard.
+/// With names of this length a frame of 3,000 heartbeats from idle machines exceeded the limit of
+/// a frame, and none of them ever got a response. A hello then names the whole shard.
 #[test]
 fn heartbeats_and_a_hello_of_4000_machines_pass_between_two_controllers() {
     run(async {
@@ -112,8 +113,8 @@
     });
 }
 
-/// A commit to the ledger holds some 915 rows. On machines of 32 CPUs a row may be 32 tasks:
-/// for machines of one controller that was a frame which it didn't take.
+/// A commit to the ledger contains about 915 rows. On machines of 32 CPUs a row may stand for 32
+/// tasks: the commands for machines of one controller's shard made a frame that it refused.
 #[test]
 fn orders_are_split_into_frames_that_are_taken() {
     let orders = |n: usize| {
@@ -145,7 +146,7 @@
     assert!(frames::split(Vec::new()).is_empty());
 }
 
-/// What is reckoned for a heartbeat is no less than what it takes.
+/// The size computed for a heartbeat is an upper bound on its encoded size.
 #[test]
 fn a_heartbeat_takes_no_more_than_is_reckoned() {
     for tasks in [0, 1, 16, 200] {
@@ -182,15 +183,15 @@
     }
 }
 
-/// As the pinned version reads the record: it knows nothing of parts.
+/// The record as the previous version, which knows nothing of chunks, reads it.
 #[derive(Debug, Default, PartialEq, Deserialize)]
 struct ImagesBefore {
     machines: Vec<String>,
     images: Vec<(u64, f64, String)>,
 }
 
-/// Where images are on 5,000 machines doesn't fit one value of 32 KiB. It is written in
-/// parts and read back whole; the version before reads it as empty, not as broken.
+/// The record of the images on 5,000 machines does not fit into one value of 32 KiB. It is written
+/// in chunks and read back whole; the previous version reads it as empty, not as broken.
 #[test]
 fn images_of_5000_machines_are_written_in_parts_and_read_back() {
     run(async {
@@ -230,7 +231,7 @@
     });
 }
 
-/// Answers one request with this body.
+/// Serves this body over HTTP, and returns the body as the client receives it.
 async fn answered(body: Vec<u8>) -> Result<Vec<u8>, NetError> {
     let host = Runtime::native();
     let listener = host.bind(([127, 0, 0, 1], 0).into()).await.unwrap();
@@ -245,8 +246,9 @@
     Ok(answer.body)
 }
 
-/// All changes that the state service keeps for a watch, each a new job of a pipeline: with
-/// 4 MiB the answer was refused, again and again, until the leader was blind.
+/// The response contains all changes that the key-value store keeps for a watch, each a new job
+/// with dependencies. When the client accepted 4 MiB, it refused the response repeatedly, until
+/// the leader's view of cancellations was too old.
 #[test]
 fn a_watch_of_all_10_000_changes_is_taken() {
     let needs: Vec<String> = (0..16).map(|n| format!("wk-{n:06}")).collect();
@@ -269,7 +271,7 @@
     assert_eq!(read.events.len(), 10_000);
 }
 
-/// The list comes in pages of 500; all of 5,000 machines in one would be taken as well.
+/// The list is read in pages of 500 machines; a single page of 5,000 would be accepted as well.
 #[test]
 fn a_list_of_5000_machines_is_taken() {
     let listed = |n: usize| ListedMachine {
--- a/crates/node/tests/stalled_process.rs
+++ b/crates/node/tests/stalled_process.rs
@@ -1,4 +1,5 @@
-//! What a process may still answer that stood still, is partitioned or leads in a new term.
+//! Responses that a controller may still give after it stalled, while it is partitioned, or when
+//! it leads in a new term.
 
 mod common;
 
@@ -12,8 +13,8 @@
 use common::{ask, example, run, types};
 use std::sync::Arc;
 
-/// A shard's owner cut off from a leader that others reach kept its workers until its grants
-/// ran out; the leader deleted their machines meanwhile.
+/// A shard owner that was cut off from a leader that others reached kept its workers until its
+/// shard leases expired; meanwhile the leader deleted their machines.
 #[test]
 fn unreachable_leader_that_the_store_still_names_means_partition() {
     let is_partitioned = |named_s_ago: f64, answered_s_ago: f64| {
@@ -36,7 +37,7 @@
     );
 }
 
-/// The leader of term 2 without jobs or machines.
+/// A leader of term 2 without jobs or machines.
 fn empty_leader(node: &Node) -> Leader {
     let cluster = node.settings.platform.deployment.cluster.clone();
     Leader::new(2, 7, cluster, types(), RecoveredState::default(), 0.0).unwrap()
@@ -57,9 +58,9 @@
     }
 }
 
-/// A process may stand still while its clocks run on, and then find reports
-/// and frames queued in its sockets. What it may do is judged by the time
-/// of doing: within its lease all is as before, past it nothing is answered.
+/// A process may stall while its clocks run on, and then find heartbeats and frames queued in its
+/// sockets. The right to act is checked at the time of each response: within the lease the leader
+/// responds as before, after the lease it responds to no queued request.
 #[test]
 fn leader_stalled_past_its_lease_answers_no_queued_requests() {
     let node = Arc::new(example());
@@ -94,11 +95,11 @@
         } => (leading_term.is_some(), shard.len()),
         other => panic!("{other:?}"),
     };
-    // Shorter than the lease.
+    // A stall shorter than the lease.
     assert!(answers(run(node.handle_peer_request(frame(1)))));
     assert_eq!(leads(run(node.handle_peer_request(hello()))), (true, 1));
     assert!(run(node.heartbeat(heartbeat("vm-2", 1))).is_some());
-    // Longer: the lease ended while it stood, with these in its sockets.
+    // A longer stall: the lease expired while these requests were queued in the sockets.
     let since = node.now() - node.timing.leader_lease_s;
     node.lock_state()
         .term
@@ -114,7 +115,7 @@
     assert_eq!((response.status, response.retry_after_s), (503, Some(1)));
 }
 
-/// The same for the owner of a shard: its grants ran out while it stood.
+/// The shard leases of a shard owner expired while it was stalled.
 #[test]
 fn shard_owner_stalled_past_its_grants_answers_no_heartbeat() {
     let node = example();
@@ -133,8 +134,8 @@
     assert_eq!(beat().status, 503);
 }
 
-/// An answer of an earlier term once reached a new leader on the same
-/// controller, whose job numbers are others.
+/// A response of an earlier term once reached a new leader on the same controller, whose job
+/// indices differ.
 #[test]
 fn answer_of_an_earlier_term_finds_no_leader() {
     let node = example();
--- a/crates/node/tests/startup.rs
+++ b/crates/node/tests/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a controller.
+//! Start of a controller.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use cherrywood_node::start;
 use common::{EXAMPLE, run};
 
-/// The earlier process of this name is killed and not quite gone: its address is
-/// free a moment after this one wanted it.
+/// A controller is restarted while its killed predecessor still holds the address, which becomes
+/// free a moment later.
 #[test]
 fn start_waits_for_an_address_that_the_previous_process_still_holds() {
     run(async {
--- a/crates/node/tests/status_queries.rs
+++ b/crates/node/tests/status_queries.rs
@@ -1,4 +1,4 @@
-//! Status queries that wait, and what they cost the state service.
+//! Waiting status queries, and the requests to the key-value store that they cause.
 
 mod common;
 
@@ -20,7 +20,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::oneshot;
 
-/// s for which a user waits for an answer to a poll (protocol).
+/// Seconds for which a user waits for the response to a status query (protocol).
 const USER_WAIT_S: f64 = 2.0;
 
 #[test]
@@ -36,8 +36,8 @@
     assert_eq!(sizes, [4, 4, 2, 0]);
 }
 
-/// More jobs are asked about, again and again, than the comparisons hold: the one
-/// whose name sorts last was never asked for, and so forgotten.
+/// Repeated queries concern more jobs than the comparisons can hold. The job whose id sorts last
+/// was never looked up, and so it was forgotten.
 #[test]
 fn overloaded_queue_serves_every_job_in_its_turn() {
     let queue = StatusQueryQueue::default();
@@ -49,8 +49,8 @@
     };
     (0..2000).for_each(&mut ask);
     ask(999_999);
-    // 32 are served in a round, and 32 of a team that asks eight times as often
-    // are back at once.
+    // Each round serves 32 jobs, and 32 queries of a team that sends eight times as many arrive
+    // at once.
     let round = (0..100).find(|round| {
         let batch = queue.take_batch(32);
         (0..32).for_each(|n| ask((round * 32 + n) % 2000));
@@ -59,7 +59,7 @@
     assert_eq!(round, Some(2000 / 32));
 }
 
-/// Users who gave up are no reason to make others wait.
+/// Queries of users who gave up must not make other users wait.
 #[test]
 fn abandoned_queries_take_no_place_in_a_batch() {
     let queue = StatusQueryQueue::default();
@@ -93,19 +93,19 @@
     mark: u64,
 }
 
-/// What the stand-in for the state service does.
+/// Behaviour of the stand-in for the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum FakeStore {
-    /// Jobs below 100 are live, those below 200 done, the rest unknown.
+    /// Jobs below 100 are live, jobs from 100 to 199 done, all others unknown.
     Serving,
-    /// The same, but the first request gets no response.
+    /// As `Serving`, but the first request gets no response.
     SilentAtFirst,
     /// All requests get 503.
     Refusing,
 }
 
 impl FakeStore {
-    /// Returns its address and a count of requests.
+    /// Starts the stand-in, and returns its address and its count of requests.
     async fn start(self) -> (SocketAddr, Arc<AtomicUsize>) {
         let host = Runtime::native();
         let listener = host.bind(([127, 0, 0, 1], 0).into()).await.unwrap();
@@ -166,7 +166,7 @@
     key.rsplit('-').next().unwrap().parse().unwrap()
 }
 
-/// A controller of this state service that answers status queries.
+/// Starts a controller that uses this key-value store and responds to status queries.
 fn node_at(store: SocketAddr) -> Arc<Node> {
     let text = EXAMPLE.replace("state = \"127.0.0.1:9\"", &format!("state = \"{store}\""));
     let platform = Settings::platform(&text).unwrap();
@@ -179,10 +179,10 @@
     node
 }
 
-/// Status, state, and whether there is a `Retry-After`.
+/// Status of a response, the job's state, and whether there is a `Retry-After`.
 type Answer = (u16, Option<JobState>, bool);
 
-/// Asks about all of these at once; the answers, and the requests that they cost.
+/// Queries all these jobs at once. Returns the responses, and the number of requests to the store.
 fn query_all(store: FakeStore, jobs: &[u32]) -> (Vec<Answer>, usize) {
     run(async {
         let (addr, count) = store.start().await;
@@ -210,8 +210,8 @@
     })
 }
 
-/// With users asking eight times as often, a read for each query took the
-/// whole budget: submissions and placements were refused by the hundred.
+/// When users sent eight times as many queries, a read for each query used up the whole request
+/// rate: submissions and placements were refused by the hundred.
 #[test]
 fn concurrent_queries_share_one_store_request() {
     let mut jobs: Vec<u32> = (0..60).chain(0..60).collect();
@@ -225,11 +225,11 @@
         };
         assert_eq!(answer, want, "job {n}");
     }
-    // One comparison, and a read for the job that is over.
+    // One comparison, and one read for the job that is over.
     assert_eq!(requests, 2);
 }
 
-/// Users whose jobs have no room ask again and again: two reads for each took a
+/// Users whose jobs lack room submit them repeatedly: two reads for each submission used up a
 /// follower's whole share of the requests.
 #[test]
 fn queries_for_unknown_jobs_share_store_requests() {
@@ -239,9 +239,9 @@
     assert_eq!(requests, 2, "96 in a comparison");
 }
 
-/// Under overload: a job that is known is 200 whatever there is room for, one that
-/// isn't gets its 429 at once and with a time to come back; it is never told that
-/// it is impossible, and a state service that fails is no reason to refuse it.
+/// Under overload, the submission of a known job gets 200 regardless of room, and that of an
+/// unknown job gets 429 at once, with a time after which to retry. The job is never called
+/// infeasible, and is not refused because the key-value store fails.
 #[test]
 fn submission_without_room_is_429_unless_the_job_is_known() {
     let answers = |store: FakeStore| {
@@ -287,8 +287,8 @@
     assert_eq!(requests, 1);
 }
 
-/// Where responses of the store were lost, every poll in their batches was 503 after 0.9 s, and a
-/// job that had waited through an outage was forgotten (scenarios/long/forgotten-98.yaml).
+/// When a response of the store was lost, every query of its batch got 503 after 0.9 s, and a job
+/// that had waited through an outage was forgotten (scenarios/long/forgotten-98.yaml).
 #[test]
 fn queries_are_answered_in_time_though_the_stores_first_response_is_lost() {
     let began = std::time::Instant::now();
