--- a/crates/node/src/admission_filter.rs
+++ b/crates/node/src/admission_filter.rs
@@ -117,7 +117,7 @@
     // --- refusals ---
 
     /// The refusals that this peer has not acknowledged yet.
-    pub fn refusals_to_tell(&self, peer: &str, now: f64) -> RefusalBatch {
+    pub fn unacknowledged_refusals(&self, peer: &str, now: f64) -> RefusalBatch {
         let inner = lock(&self.inner);
         let from = inner.acknowledged.get(peer).map_or(0, |a| a.up_to);
         inner.refusals.local_since(from, now)
@@ -126,7 +126,7 @@
     /// Records that the peer's process `process_id` knows the refusals up to this sequence number.
     /// A new process knows nothing of what was sent to the earlier one, however soon it was
     /// restarted: all refusals are sent again, or users' waiting times would not count there.
-    pub fn refusals_acknowledged(&self, peer: &str, process_id: u64, up_to: u64) {
+    pub fn acknowledge_refusals(&self, peer: &str, process_id: u64, up_to: u64) {
         let mut inner = lock(&self.inner);
         let before = inner.acknowledged.get(peer);
         let same_process = before.is_none_or(|a| a.process_id == process_id);
@@ -149,7 +149,7 @@
     }
 
     /// Evicts refusals that are too old to count.
-    pub fn forget_old(&self, now: f64) {
+    pub fn evict_old_refusals(&self, now: f64) {
         lock(&self.inner).refusals.expire(now);
     }
 }
--- a/crates/node/src/api.rs
+++ b/crates/node/src/api.rs
@@ -11,21 +11,21 @@
 use cherrywood_wire::user::is_valid_job_id;
 
 /// Handles one request of a user, a worker or the load balancer.
-pub async fn answer(node: &Node, request: Request) -> Response {
+pub async fn handle_request(node: &Node, request: Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
-    let post = request.method == "POST";
-    let get = request.method == "GET";
+    let is_post = request.method == "POST";
+    let is_get = request.method == "GET";
     let job = path.strip_prefix("/submissions/");
     let cancelled_job = job.and_then(|j| j.strip_suffix("/cancel"));
     match path {
-        "/healthz" if get => readiness(node).into(),
-        "/agent/beat" if post => heartbeat(node, &request.body).await.into(),
-        "/submissions" if post => submit(node, &request.body).await,
+        "/healthz" if is_get => readiness(node).into(),
+        "/agent/beat" if is_post => heartbeat(node, &request.body).await.into(),
+        "/submissions" if is_post => submit(node, &request.body).await,
         "/healthz" | "/agent/beat" | "/submissions" => Outcome::MethodNotAllowed.into(),
         _ => match (job, cancelled_job) {
-            (_, Some(id)) if post => cancel(node, id).await,
+            (_, Some(id)) if is_post => cancel(node, id).await,
             (_, Some(_)) => Outcome::MethodNotAllowed.into(),
-            (Some(id), None) if get && !id.contains('/') => status_query(node, id).await.into(),
+            (Some(id), None) if is_get && !id.contains('/') => status_query(node, id).await.into(),
             (Some(id), None) if !id.contains('/') => Outcome::MethodNotAllowed.into(),
             _ => Outcome::NotFound.into(),
         },
@@ -51,8 +51,8 @@
     let Ok(heartbeat) = decode::<Heartbeat>(body) else {
         return Outcome::UnreadableHeartbeat;
     };
-    if let Some(answer) = node.heartbeat(heartbeat).await {
-        return Outcome::HeartbeatAnswered(answer);
+    if let Some(response) = node.heartbeat(heartbeat).await {
+        return Outcome::HeartbeatAccepted(response);
     }
     // Another controller may own the machine's shard: redirect the worker to the leader, which
     // can accept every machine.
--- a/crates/node/src/background/admission_table.rs
+++ b/crates/node/src/background/admission_table.rs
@@ -19,11 +19,11 @@
         node.host.sleep(limits::TABLE_INTERVAL_S).await;
         let now = node.now();
         let refused = node.admission_filter.likely_retries(now);
-        let made = node.lock_state().term.leader_if_may_write(now).map(|l| {
+        let published = node.lock_state().term.leader_if_may_write(now).map(|l| {
             l.publish_admission_table(refused, now);
             (l.leader_guard(), l.admission_table().clone())
         });
-        let Some((guard, table)) = made else {
+        let Some((guard, table)) = published else {
             continue;
         };
         node.admission_filter.adopt_if_newer(&table);
@@ -60,7 +60,7 @@
         }
         let read = chunked_values::read::<AdmissionValue>(&node, keys::ADMISSION);
         if let Ok(found) = read.await {
-            node.note_store_answer();
+            node.record_store_response();
             if let Some(value) = found {
                 node.admission_filter.adopt_if_newer(&value.table);
             }
--- a/crates/node/src/background/direct_commands.rs
+++ b/crates/node/src/background/direct_commands.rs
@@ -17,22 +17,22 @@
             let leader = state.term.leader_if_may_act(now, &node.timing);
             leader.map(|l| (l.term(), l.due_direct_stops(now), l.due_status_queries(now)))
         };
-        let Some((term, stops, questions)) = due else {
+        let Some((term, stops, queries)) = due else {
             continue;
         };
         for stops in stops {
             let stop = send_stops(node.clone(), term, stops.address, stops.commands);
             node.host.spawn(stop);
         }
-        for query in questions {
-            let question = ask_for_status(node.clone(), term, query.machine, query.address, now);
-            node.host.spawn(question);
+        for query in queries {
+            let query = query_status(node.clone(), term, query.machine, query.address, now);
+            node.host.spawn(query);
         }
     }
 }
 
 async fn send_stops(node: Arc<Node>, term: u64, addr: String, commands: DirectCommands) {
-    let Some(heartbeat) = node.command_silent_worker(&addr, &commands).await else {
+    let Some(heartbeat) = node.send_commands_to_silent_worker(&addr, &commands).await else {
         return;
     };
     let now = node.now();
@@ -42,10 +42,10 @@
     node.placement_commit_due.notify_one();
 }
 
-async fn ask_for_status(node: Arc<Node>, term: u64, machine: String, addr: String, asked_at: f64) {
+async fn query_status(node: Arc<Node>, term: u64, machine: String, addr: String, sent_at: f64) {
     let status = node.worker_status(&addr).await;
     let now = node.now();
     if let Some(leader) = node.lock_state().term.leader_of_term(term) {
-        leader.status_query_done(&machine, asked_at, status.as_ref(), now);
+        leader.status_query_done(&machine, sent_at, status.as_ref(), now);
     }
 }
--- a/crates/node/src/background/job_commits.rs
+++ b/crates/node/src/background/job_commits.rs
@@ -30,11 +30,11 @@
                 progress_written_at = now;
             }
             let outcome = commit_batch(&node, due).await;
-            let answered = failed_rounds.note(&outcome);
+            let has_response = failed_rounds.record(&outcome);
             if !matches!(outcome, WriteOutcome::Applied(_)) {
                 reread_revisions(&node).await;
             }
-            if !answered {
+            if !has_response {
                 failed_rounds.pause(&node).await;
             }
             node.host.sleep(limits::LEDGER_WRITE_INTERVAL_S).await;
--- a/crates/node/src/background/job_watch.rs
+++ b/crates/node/src/background/job_watch.rs
@@ -57,11 +57,11 @@
         let sent = node.now();
         match read_changes(&node, from).await {
             Ok(Some(changes)) => {
-                node.note_store_answer();
+                node.record_store_response();
                 let revision = changes.revision;
-                let taken = take_in(&node, term, changes);
-                position = taken.then_some(WatchPosition { lease, revision });
-                if taken {
+                let is_applied = apply_changes(&node, term, changes);
+                position = is_applied.then_some(WatchPosition { lease, revision });
+                if is_applied {
                     node.lock_state()
                         .term
                         .leadership
@@ -130,7 +130,7 @@
 
 /// Applies the changes to the leader of this term. Returns false if this controller no longer
 /// leads in it.
-fn take_in(node: &Arc<Node>, term: u64, changes: JobChanges) -> bool {
+fn apply_changes(node: &Arc<Node>, term: u64, changes: JobChanges) -> bool {
     let now = node.now();
     let mut state = node.lock_state();
     let leader_term = &mut state.term;
--- a/crates/node/src/background/leader_election.rs
+++ b/crates/node/src/background/leader_election.rs
@@ -43,16 +43,18 @@
 
 async fn campaign(node: &Arc<Node>) -> Result<CampaignResult, NetError> {
     let current = node.store.get::<LeaderRecord>(keys::LEADER).await?;
-    node.note_store_answer();
+    node.record_store_response();
     match current {
         Some(item) if item.value.leader == node.label() => {
-            end_own_earlier_lease(node, item).await?;
+            revoke_predecessor_lease(node, item).await?;
             Ok(CampaignResult::Settled)
         }
         Some(item) => {
             let now = node.now();
             let mut state = node.lock_state();
-            state.leader_contact.named_by_store(item.value.leader, now);
+            state
+                .leader_contact
+                .record_stored_leader(item.value.leader, now);
             Ok(CampaignResult::Settled)
         }
         None => run_for_leader(node).await,
@@ -65,7 +67,10 @@
 /// lease is revoked rather than waited for. If that process still runs, it acts as the leader
 /// until its lease expires by its own clock, so the shard leases that it grants until then must
 /// be waited out.
-async fn end_own_earlier_lease(node: &Node, item: KeyValue<LeaderRecord>) -> Result<(), NetError> {
+async fn revoke_predecessor_lease(
+    node: &Node,
+    item: KeyValue<LeaderRecord>,
+) -> Result<(), NetError> {
     if let Some(lease) = item.lease {
         node.store.revoke_lease(lease).await?;
     }
--- a/crates/node/src/background/maintenance.rs
+++ b/crates/node/src/background/maintenance.rs
@@ -40,7 +40,7 @@
                 "status queries refused: state service or request budget"
             );
         }
-        forget_old(&node, now);
+        evict_old_entries(&node, now);
         rounds = rounds.wrapping_add(1);
         if rounds.is_multiple_of(ROUNDS_PER_CONNECTION_COUNTS) {
             log_connections(&node, &mut connections_logged);
@@ -61,10 +61,10 @@
         info!("ready: users are served again");
         return;
     }
-    let without_store_s = now - state.store_contact.last_answered_at;
+    let without_store_s = now - state.store_contact.last_response_at;
     let why = match state.term.is_settling(now) {
-        true => "failover; heartbeats come first",
-        false => "no contact with the state service",
+        true => "failover: heartbeats take precedence",
+        false => "no response from the key-value store",
     };
     warn!(
         without_store_s,
@@ -77,8 +77,8 @@
 fn log_connections(node: &Node, logged: &mut PoolCounts) {
     let counts = node.served_connections.counts();
     let open = node.served_connections.open();
-    let lossy = |counts: &PoolCounts| counts.evicted() + counts.refused();
-    if lossy(&counts) == lossy(logged) {
+    let rejected = |counts: &PoolCounts| counts.evicted() + counts.refused();
+    if rejected(&counts) == rejected(logged) {
         debug!(open, ?counts, "served connections");
     } else {
         info!(
@@ -90,12 +90,12 @@
     *logged = counts;
 }
 
-fn forget_old(node: &Node, now: f64) {
+fn evict_old_entries(node: &Node, now: f64) {
     let mut state = node.lock_state();
     state
         .shard
         .forget_silent(now, limits::SILENT_MACHINE_MEMORY_S);
-    node.admission_filter.forget_old(now);
+    node.admission_filter.evict_old_refusals(now);
 }
 
 /// Counts a round of the leader, and logs its summary every `ROUNDS_PER_SUMMARY` rounds.
--- a/crates/node/src/background/member_versions.rs
+++ b/crates/node/src/background/member_versions.rs
@@ -13,7 +13,7 @@
 use tracing::info;
 
 /// Seconds before a failed write of the version is retried.
-const PUBLISH_AGAIN_S: f64 = 1.0;
+const PUBLISH_RETRY_S: f64 = 1.0;
 
 /// Publishes this controller's version once. While it leads, also checks whether all controllers
 /// have published theirs. Until then, records that the version in production reads keep their
@@ -36,7 +36,7 @@
         }
         let every_s = match published {
             true => limits::MEMBER_CHECK_INTERVAL_S,
-            false => PUBLISH_AGAIN_S,
+            false => PUBLISH_RETRY_S,
         };
         let pause_s = every_s * node.host.random_between(0.8, 1.2);
         node.host.sleep(pause_s).await;
--- a/crates/node/src/background/mod.rs
+++ b/crates/node/src/background/mod.rs
@@ -47,14 +47,14 @@
     host.spawn(admission_table::refresh(node.clone()));
     host.spawn(maintenance::run(node.clone()));
     for peer in 0..node.peers.len() {
-        host.spawn(say_hellos(node.clone(), peer));
+        host.spawn(send_hellos(node.clone(), peer));
     }
 }
 
 /// Sends hellos to the peer with this index, in an endless loop.
-async fn say_hellos(node: Arc<Node>, peer: usize) {
+async fn send_hellos(node: Arc<Node>, peer: usize) {
     loop {
-        node.say_hello(&node.peers[peer]).await;
+        node.send_hello(&node.peers[peer]).await;
         node.host.sleep(limits::HELLO_INTERVAL_S).await;
     }
 }
--- a/crates/node/src/background/placement_commits.rs
+++ b/crates/node/src/background/placement_commits.rs
@@ -20,7 +20,7 @@
         node.placement_commit_due.notified().await;
         while let Some((term, batch)) = next_batch(&node) {
             let outcome = commit_batch(&node, term, batch).await;
-            failed_rounds.note(&outcome);
+            failed_rounds.record(&outcome);
             if !matches!(outcome, WriteOutcome::Applied(_)) {
                 reread_revisions(&node).await;
                 failed_rounds.pause(&node).await;
@@ -47,9 +47,9 @@
     let span = tracing::trace_span!(target: "life", "placement", term);
     let write = commit(node, term, &batch.txn, RequestPriority::Placement);
     let outcome = write.instrument(span.clone()).await;
-    let due = span.in_scope(|| take_in_outcome(node, term, batch, &outcome));
+    let due = span.in_scope(|| apply_outcome(node, term, batch, &outcome));
     for (shard_owner, commands) in due {
-        let commands = commands.into_iter().map(in_frame_form).collect();
+        let commands = commands.into_iter().map(to_machine_commands).collect();
         for frame in frames::split(commands) {
             let send = send_commands(node.clone(), term, shard_owner.clone(), frame);
             node.host.spawn(send);
@@ -60,7 +60,7 @@
 
 /// Passes the outcome of the batch to the leader. Returns the commands that are due now, by the
 /// label of the workers' shard owner.
-fn take_in_outcome(
+fn apply_outcome(
     node: &Node,
     term: u64,
     batch: LedgerBatch,
@@ -79,7 +79,7 @@
 }
 
 /// Converts commands to the form used in frames between controllers.
-fn in_frame_form(commands: AddressedCommands) -> MachineCommands {
+fn to_machine_commands(commands: AddressedCommands) -> MachineCommands {
     (commands.machine, commands.address, commands.commands)
 }
 
--- a/crates/node/src/background/recovery.rs
+++ b/crates/node/src/background/recovery.rs
@@ -52,18 +52,18 @@
 };
 
 /// Retries a read that is refused by the key-value store or lost, while this controller leads.
-async fn insist<T, F>(node: &Node, mut read: impl FnMut() -> F) -> Result<T, NetError>
+async fn read_with_retries<T, F>(node: &Node, mut read: impl FnMut() -> F) -> Result<T, NetError>
 where
     F: Future<Output = Result<T, NetError>>,
 {
-    let mut tries = READ_RETRIES.begin(node.now());
+    let mut attempts = READ_RETRIES.begin(node.now());
     loop {
         let error = match read().await {
             Ok(value) => return Ok(value),
             Err(error) => error,
         };
-        let chance = node.host.random_between(0.0, 1.0);
-        let pause_s = tries.next_delay_s(&node.store.retries, None, chance, node.now());
+        let jitter = node.host.random_between(0.0, 1.0);
+        let pause_s = attempts.next_delay_s(&node.store.retries, None, jitter, node.now());
         let leads = |now| node.lock_state().term.leadership.may_write(now);
         match pause_s.filter(|_| leads(node.now())) {
             Some(pause_s) => node.host.sleep(pause_s).await,
@@ -80,9 +80,9 @@
     key_revision: u64,
 ) -> Result<(), RecoveryError> {
     let mut recovered = read_leader_records(node).await?;
-    let chunk_keys = insist(node, || list_chunk_keys(node)).await?;
+    let chunk_keys = read_with_retries(node, || list_chunk_keys(node)).await?;
     // Jobs are read last. If a job ends meanwhile, the guards of the leader's writes for it fail.
-    let jobs = insist(node, || job_records::list_live(node)).await?;
+    let jobs = read_with_retries(node, || job_records::list_live(node)).await?;
     recovered.unreadable_jobs = jobs.unreadable;
     recovered.jobs = read_submissions(node, jobs.rows, &mut recovered.unreadable_jobs).await?;
     let obsolete_keys = chunks_without_job(chunk_keys, &recovered.jobs);
@@ -127,8 +127,10 @@
 /// Reads the ledger, progress records, and the data that earlier leaders learned (histograms,
 /// images, admission).
 async fn read_leader_records(node: &Node) -> Result<RecoveredState, RecoveryError> {
-    let ledger = insist(node, || node.store.list::<PlacementLogRecord>(keys::LEDGER)).await?;
-    let progress = insist(node, || node.store.list::<ProgressRecord>(keys::PROGRESS)).await?;
+    let ledger =
+        read_with_retries(node, || node.store.list::<PlacementLogRecord>(keys::LEDGER)).await?;
+    let progress =
+        read_with_retries(node, || node.store.list::<ProgressRecord>(keys::PROGRESS)).await?;
     info!(
         ledger_from_revision = ledger.first_revision(),
         ledger_to_revision = ledger.last_revision,
@@ -145,9 +147,10 @@
                 (key, row.value, row.revision)
             })
             .collect(),
-        histograms: insist(node, || chunked_values::read(node, keys::HISTOGRAMS)).await?,
-        images: insist(node, || chunked_values::read(node, keys::IMAGES)).await?,
-        admission: insist(node, || chunked_values::read(node, keys::ADMISSION)).await?,
+        histograms: read_with_retries(node, || chunked_values::read(node, keys::HISTOGRAMS))
+            .await?,
+        images: read_with_retries(node, || chunked_values::read(node, keys::IMAGES)).await?,
+        admission: read_with_retries(node, || chunked_values::read(node, keys::ADMISSION)).await?,
         ..RecoveredState::default()
     })
 }
@@ -176,7 +179,7 @@
     let mut jobs = Vec::new();
     for row in rows {
         let record = || job_records::with_submission(node, row.value.clone());
-        match insist(node, record).await? {
+        match read_with_retries(node, record).await? {
             Some(value) => jobs.push((value, row.revision)),
             None => unreadable.extend(keys::job_of(&row.key).map(str::to_string)),
         }
--- a/crates/node/src/background/snapshots.rs
+++ b/crates/node/src/background/snapshots.rs
@@ -18,7 +18,7 @@
     loop {
         node.host.sleep(pause_s).await;
         let now = node.now();
-        let made = {
+        let snapshots = {
             let mut state = node.lock_state();
             let leader = state.term.leader_if_may_write(now);
             leader.map(|l| {
@@ -29,7 +29,7 @@
                 )
             })
         };
-        let Some((guard, histograms, images)) = made else {
+        let Some((guard, histograms, images)) = snapshots else {
             continue;
         };
         let priority = RequestPriority::Snapshot;
--- a/crates/node/src/background/status_queries.rs
+++ b/crates/node/src/background/status_queries.rs
@@ -2,7 +2,7 @@
 
 use crate::job_queries::read_final_state;
 use crate::node::Node;
-use crate::status_queries::{QueryAnswer, QueryBatch};
+use crate::status_queries::{QueryBatch, QueryResult};
 use crate::task_counts::TaskCounts;
 use cherrywood_control::keys;
 use cherrywood_limits as limits;
@@ -16,7 +16,7 @@
 
 /// Jobs per change of a transaction: it may compare four keys for each change that it may
 /// contain, and a job has two keys.
-const JOBS_FOR_EACH_CHANGE: usize = 4 / 2;
+const JOBS_PER_CHANGE: usize = 4 / 2;
 
 /// Responds to queries in an endless loop: the first query after a pause is served at once, later
 /// ones in batches.
@@ -24,12 +24,12 @@
     loop {
         node.status_queries.due.notified().await;
         loop {
-            let most = node.store.limits().txn_changes * JOBS_FOR_EACH_CHANGE;
-            let batch = node.status_queries.take_batch(most);
+            let max_jobs = node.store.limits().txn_changes * JOBS_PER_CHANGE;
+            let batch = node.status_queries.take_batch(max_jobs);
             if batch.is_empty() {
                 break;
             }
-            node.host.spawn(answer_batch(node.clone(), batch));
+            node.host.spawn(serve_batch(node.clone(), batch));
             node.host.sleep(limits::POLL_BATCH_INTERVAL_S).await;
         }
     }
@@ -46,7 +46,7 @@
 /// whether a job is live, and nothing is awaited after it. If both requests were sent at the
 /// same time, a slow leader would cause jobs to be reported as queued after their cancellation
 /// was confirmed.
-async fn answer_batch(node: Arc<Node>, batch: QueryBatch) {
+async fn serve_batch(node: Arc<Node>, batch: QueryBatch) {
     let deadline = node.now() + limits::POLL_BATCH_TIMEOUT_S;
     let ids: Vec<String> = batch.keys().cloned().collect();
     let counts = node.task_counts(&ids).await;
@@ -60,14 +60,14 @@
             return;
         }
     };
-    node.note_store_answer();
-    for ((id, askers), counts) in batch.into_iter().zip(counts) {
+    node.record_store_response();
+    for ((id, waiters), counts) in batch.into_iter().zip(counts) {
         if existing.contains(&keys::job(&id)) {
-            answer_all(askers, || live(counts));
+            respond_to_all(waiters, || live(counts));
         } else if existing.contains(&keys::ended(&id)) {
-            node.host.spawn(answer_ended(node.clone(), id, askers));
+            node.host.spawn(respond_ended(node.clone(), id, waiters));
         } else {
-            answer_all(askers, || QueryAnswer::UnknownJob);
+            respond_to_all(waiters, || QueryResult::UnknownJob);
         }
     }
 }
@@ -92,24 +92,24 @@
     Ok(keys.into_iter().collect())
 }
 
-fn live(counts: TaskCounts) -> QueryAnswer {
+fn live(counts: TaskCounts) -> QueryResult {
     match counts {
-        TaskCounts::Known { done, running } => QueryAnswer::Live { done, running },
-        TaskCounts::Withheld => QueryAnswer::Unavailable,
+        TaskCounts::Known { done, running } => QueryResult::Live { done, running },
+        TaskCounts::Withheld => QueryResult::Unavailable,
     }
 }
 
-async fn answer_ended(node: Arc<Node>, id: String, askers: Vec<oneshot::Sender<QueryAnswer>>) {
+async fn respond_ended(node: Arc<Node>, id: String, waiters: Vec<oneshot::Sender<QueryResult>>) {
     let found = read_final_state(&node, &id, RequestPriority::Poll).await;
-    answer_all(askers, || match &found {
-        Ok(Some(value)) => QueryAnswer::Ended(value.clone()),
-        _ => QueryAnswer::Unavailable,
+    respond_to_all(waiters, || match &found {
+        Ok(Some(value)) => QueryResult::Ended(value.clone()),
+        _ => QueryResult::Unavailable,
     });
 }
 
-fn answer_all(askers: Vec<oneshot::Sender<QueryAnswer>>, answer: impl Fn() -> QueryAnswer) {
-    for asker in askers {
+fn respond_to_all(waiters: Vec<oneshot::Sender<QueryResult>>, response: impl Fn() -> QueryResult) {
+    for waiter in waiters {
         // Sending fails for a request that has timed out.
-        let _ = asker.send(answer());
+        let _ = waiter.send(response());
     }
 }
--- a/crates/node/src/background/transactions.rs
+++ b/crates/node/src/background/transactions.rs
@@ -28,7 +28,7 @@
 };
 
 /// Most keys read again in one round.
-const REREADS_AT_ONCE: usize = 20;
+const REREADS_PER_ROUND: usize = 20;
 
 /// Whether this controller leads in this term and may write.
 pub(super) fn leads_in_term(node: &Node, term: u64) -> bool {
@@ -47,17 +47,17 @@
     priority: RequestPriority,
 ) -> WriteOutcome {
     let mut maybe_applied = false;
-    let mut tries = COMMIT_RETRIES.begin(node.now());
+    let mut attempts = COMMIT_RETRIES.begin(node.now());
     while leads_in_term(node, term) {
         let result = node.store.txn(txn, priority).await;
         if matches!(result, Ok(TxnOutcome::Applied(_))) {
-            node.note_store_answer();
+            node.record_store_response();
         }
         if let Some(outcome) = settled(result, &mut maybe_applied) {
             return outcome;
         }
-        let chance = node.host.random_between(0.0, 1.0);
-        match tries.next_delay_s(&node.store.retries, None, chance, node.now()) {
+        let jitter = node.host.random_between(0.0, 1.0);
+        match attempts.next_delay_s(&node.store.retries, None, jitter, node.now()) {
             Some(pause_s) => node.host.sleep(pause_s).await,
             None => break,
         }
@@ -87,7 +87,7 @@
         Err(NetError::TooLarge { .. }) if !*maybe_applied => Some(WriteOutcome::Refused),
         Err(NetError::TooLarge { .. }) => Some(WriteOutcome::Unknown),
         Err(error @ (NetError::InvalidResponse { .. } | NetError::UnexpectedStatus { .. })) => {
-            warn!(%error, "the state service refuses a transaction");
+            warn!(%error, "the key-value store refuses a transaction");
             Some(WriteOutcome::Unknown)
         }
     }
@@ -100,19 +100,19 @@
 impl FailedRounds {
     /// Records the outcome of a round. Returns true if the key-value store responded to it,
     /// whether with a conflict or not.
-    pub(super) fn note(&mut self, outcome: &WriteOutcome) -> bool {
-        let answered = matches!(
+    pub(super) fn record(&mut self, outcome: &WriteOutcome) -> bool {
+        let has_response = matches!(
             outcome,
             WriteOutcome::Applied(_) | WriteOutcome::Conflict(_)
         );
-        self.0 = if answered { 0 } else { self.0 + 1 };
-        answered
+        self.0 = if has_response { 0 } else { self.0 + 1 };
+        has_response
     }
 
     /// Waits before the next round, longer after each consecutive failed round.
     pub(super) async fn pause(&self, node: &Node) {
-        let chance = node.host.random_between(0.0, 1.0);
-        let pause_s = FAILED_ROUND_PAUSES.delay_s(self.0, chance);
+        let jitter = node.host.random_between(0.0, 1.0);
+        let pause_s = FAILED_ROUND_PAUSES.delay_s(self.0, jitter);
         node.host.sleep(pause_s).await;
     }
 }
@@ -125,7 +125,7 @@
         let Some(leader) = &state.term.leader else {
             return;
         };
-        let keys = leader.keys_to_reread.iter().take(REREADS_AT_ONCE);
+        let keys = leader.keys_to_reread.iter().take(REREADS_PER_ROUND);
         (leader.term(), keys.cloned().collect())
     };
     for key in keys {
--- a/crates/node/src/cancellations.rs
+++ b/crates/node/src/cancellations.rs
@@ -17,10 +17,10 @@
 /// Handles `POST /submissions/{id}/cancel`.
 pub(crate) async fn cancel(node: &Node, id: &str) -> Response {
     let span = tracing::trace_span!(target: "life", "cancellation", job = %id);
-    respond_in_span(span, id, end_as_cancelled(node, id)).await
+    respond_in_span(span, id, cancel_job(node, id)).await
 }
 
-async fn end_as_cancelled(node: &Node, id: &str) -> Outcome {
+async fn cancel_job(node: &Node, id: &str) -> Outcome {
     if !is_valid_job_id(id) {
         return Outcome::NotFound;
     }
@@ -34,7 +34,7 @@
             Ok(record) => record,
             Err(e) => return Outcome::store_failed(node, "cancel", &e),
         };
-        node.note_store_answer();
+        node.record_store_response();
         let Some(record) = record else {
             return match look_up(node, id, RequestPriority::Critical).await {
                 Ok(JobLookup::Ended(value)) => Outcome::ended(id, &value),
@@ -43,7 +43,7 @@
                 Err(e) => Outcome::store_failed(node, "cancel", &e),
             };
         };
-        let (txn, value) = cancellation(node, id, record);
+        let (txn, value) = cancellation_txn(node, id, record);
         match node.store.txn(&txn, RequestPriority::Critical).await {
             Ok(TxnOutcome::Applied(_)) => {
                 let mut state = node.lock_state();
@@ -59,7 +59,7 @@
 
 /// The transaction that ends a live job as cancelled, unless its records have changed since
 /// `record` was read, and the final state that the transaction writes.
-fn cancellation(
+fn cancellation_txn(
     node: &Node,
     id: &str,
     record: KeyValue<Readable<JobRecord>>,
--- a/crates/node/src/chunked_values.rs
+++ b/crates/node/src/chunked_values.rs
@@ -36,8 +36,8 @@
             by_number.insert(number, row.value.text);
         }
     }
-    let complete = by_number.len() == chunks.count as usize;
-    Ok(complete.then(|| by_number.into_values().collect()))
+    let is_complete = by_number.len() == chunks.count as usize;
+    Ok(is_complete.then(|| by_number.into_values().collect()))
 }
 
 /// Parses a value from the texts of its chunks. Returns `None` and logs a warning if it can't be
@@ -102,9 +102,9 @@
     changes.push(put(key.into(), T::in_chunks(chunks).into_record()));
     // Transactions are kept small: at a low priority, a transaction with many changes would wait
     // long for its share of the write rate.
-    let at_once = (store_limits.write_rps * limits::CHUNK_BATCH_CHANGES_SHARE) as usize;
-    for some in changes.chunks(at_once.clamp(1, store_limits.txn_changes)) {
-        writer.commit_insistently(some).await?;
+    let batch_size = (store_limits.write_rps * limits::CHUNK_BATCH_CHANGES_SHARE) as usize;
+    for batch in changes.chunks(batch_size.clamp(1, store_limits.txn_changes)) {
+        writer.commit_with_retries(batch).await?;
     }
     node.chunk_slots.record(key, chunks.slot);
     Ok(changes.len())
@@ -156,13 +156,13 @@
 
     /// Commits the changes, and retries a refused commit while this controller leads, for at most
     /// `CHUNK_WRITE_ATTEMPTS_MAX` attempts in all.
-    async fn commit_insistently(&self, changes: &[Change]) -> Result<(), NetError> {
-        let mut tries = 0;
+    async fn commit_with_retries(&self, changes: &[Change]) -> Result<(), NetError> {
+        let mut attempts = 0;
         while let Err(e) = self.commit(changes.to_vec()).await {
-            tries += 1;
-            let repeat = matches!(e, NetError::NotExecuted { .. })
-                && tries < limits::CHUNK_WRITE_ATTEMPTS_MAX;
-            if !repeat || self.node.lock_state().term.leader.is_none() {
+            attempts += 1;
+            let may_retry = matches!(e, NetError::NotExecuted { .. })
+                && attempts < limits::CHUNK_WRITE_ATTEMPTS_MAX;
+            if !may_retry || self.node.lock_state().term.leader.is_none() {
                 return Err(e);
             }
         }
--- a/crates/node/src/dependencies.rs
+++ b/crates/node/src/dependencies.rs
@@ -72,31 +72,31 @@
 /// Finds out which dependencies are live and which are over; `None` if the job itself is known.
 /// One comparison covers many dependencies and the job itself.
 async fn find<'a>(node: &Node, job: &'a Submission) -> Result<Option<Dependencies<'a>>, Error> {
-    let ids_at_once = (node.store.limits().txn_changes * 2)
+    let ids_per_txn = (node.store.limits().txn_changes * 2)
         .saturating_sub(1)
         .max(1);
     let (known_over, unread): (Vec<&String>, Vec<&String>) = {
         let state = node.lock_state();
-        let needs = job.dependencies.iter();
-        needs.partition(|id| state.final_states.contains(id))
+        let ids = job.dependencies.iter();
+        ids.partition(|id| state.final_states.contains(id))
     };
     let mut dependencies = Dependencies {
         live: Vec::new(),
         over: known_over.into_iter().cloned().collect(),
     };
-    for some in unread.chunks(ids_at_once) {
-        let ids = some.iter().copied().chain([&job.id]);
+    for batch in unread.chunks(ids_per_txn) {
+        let ids = batch.iter().copied().chain([&job.id]);
         let keys = ids.flat_map(|id| [keys::job(id), keys::ended(id)]);
         let existing = node
             .store
             .existing_keys(keys, RequestPriority::Critical)
             .await?;
-        node.note_store_answer();
+        node.record_store_response();
         let existing: HashSet<String> = existing.into_iter().collect();
         if existing.contains(&keys::job(&job.id)) || existing.contains(&keys::ended(&job.id)) {
             return Ok(None);
         }
-        for id in some {
+        for id in batch {
             if existing.contains(&keys::job(id)) {
                 dependencies.live.push(id);
             } else if existing.contains(&keys::ended(id)) {
--- a/crates/node/src/feasibility.rs
+++ b/crates/node/src/feasibility.rs
@@ -39,8 +39,8 @@
         JobKind::Service => f64::from(job.tasks),
         JobKind::Array | JobKind::Gang => 1.0,
     };
-    let over = |each: f64, most: f64| each * tasks_at_once > most + ROUNDING;
-    if over(job.cpus, team.cpus_max) || over(job.gpus, team.gpus_max) {
+    let exceeds = |per_task: f64, limit: f64| per_task * tasks_at_once > limit + ROUNDING;
+    if exceeds(job.cpus, team.cpus_max) || exceeds(job.gpus, team.gpus_max) {
         return Err(Infeasible::OverTeamLimit);
     }
     Ok(())
--- a/crates/node/src/heartbeats.rs
+++ b/crates/node/src/heartbeats.rs
@@ -24,7 +24,7 @@
     heartbeat: Heartbeat,
     run_times: RunTimes,
     /// Receives the leader's response; dropped unused if the leader does not respond.
-    answer: oneshot::Sender<Option<HeartbeatResponse>>,
+    response: oneshot::Sender<Option<HeartbeatResponse>>,
 }
 
 /// Queue of heartbeats to forward to the leader; several heartbeats share one frame.
@@ -85,7 +85,7 @@
         let mut state = self.lock_state();
         if !leads {
             match &from_leader {
-                Some(_) => state.leader_contact.last_answered_at = now,
+                Some(_) => state.leader_contact.last_response_at = now,
                 None if state.leader_contact.is_partitioned_from_leader(now) => return None,
                 None => {}
             }
@@ -130,13 +130,13 @@
         // A controller that has just stopped leading still names itself as the leader, and it is
         // not its own peer.
         self.peer_with_label(known_leader.as_deref())?;
-        let (answer, answered) = oneshot::channel();
+        let (response, received) = oneshot::channel();
         self.heartbeat_outbox.push(QueuedHeartbeat {
             heartbeat,
             run_times,
-            answer,
+            response,
         });
-        answered.await.ok().flatten()
+        received.await.ok().flatten()
     }
 
     /// Sends one frame of queued heartbeats to the leader. If no response arrives in time, the
@@ -160,12 +160,12 @@
             return;
         };
         for (queued, answer) in frame.into_iter().zip(answers) {
-            let answer = answer.map(|(fencing_token, commands)| HeartbeatResponse {
+            let response = answer.map(|(fencing_token, commands)| HeartbeatResponse {
                 fencing_token,
                 commands,
             });
             // Sending fails if the worker's request has ended.
-            let _ = queued.answer.send(answer);
+            let _ = queued.response.send(response);
         }
     }
 }
--- a/crates/node/src/job_queries.rs
+++ b/crates/node/src/job_queries.rs
@@ -36,7 +36,7 @@
         .store
         .get_with_priority::<IgnoredAny>(&key, priority)
         .await?;
-    node.note_store_answer();
+    node.record_store_response();
     if live.is_some() {
         return Ok(JobLookup::Live);
     }
--- a/crates/node/src/job_records.rs
+++ b/crates/node/src/job_records.rs
@@ -44,7 +44,7 @@
 }
 
 /// Guards that hold only while neither a live nor a final record of this job exists.
-fn guards_of_new_job(id: &str) -> Vec<Guard> {
+fn new_job_guards(id: &str) -> Vec<Guard> {
     let absent = |key| Guard { key, revision: 0 };
     vec![absent(keys::job(id)), absent(keys::ended(id))]
 }
@@ -73,7 +73,7 @@
 ) -> Result<TxnOutcome, NetError> {
     let store_limits = node.store.limits();
     let mut record = JobRecord::new(job.clone(), accepted_at_ms);
-    let mut guards = guards_of_new_job(&job.id);
+    let mut guards = new_job_guards(&job.id);
     if json_size(&record) > store_limits.value_bytes {
         let written = write_submission_chunks(node, job, store_limits).await?;
         guards.extend(written.guards);
@@ -98,7 +98,7 @@
         ended_at_ms: Some(accepted_at_ms),
     };
     let txn = Txn {
-        guards: guards_of_new_job(&job.id),
+        guards: new_job_guards(&job.id),
         changes: vec![put(
             keys::ended(&job.id),
             StoredRecord::FinalState(value.clone()),
@@ -139,13 +139,13 @@
         chunks,
         guards: Vec::new(),
     };
-    for some in rows.chunks(store_limits.txn_changes.max(1)) {
+    for batch in rows.chunks(store_limits.txn_changes.max(1)) {
         let txn = Txn {
             guards: Vec::new(),
-            changes: some.to_vec(),
+            changes: batch.to_vec(),
         };
         match node.store.txn(&txn, RequestPriority::Critical).await? {
-            TxnOutcome::Applied(revision) => written.guards.extend(guards_of(some, revision)),
+            TxnOutcome::Applied(revision) => written.guards.extend(guards_of(batch, revision)),
             TxnOutcome::Conflict(_) => {
                 return Err(NetError::invalid(
                     "transaction without guards",
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -98,7 +98,7 @@
     let n = node.clone();
     let on_user = Arc::new(move |request, _| {
         let n = n.clone();
-        async move { api::answer(&n, request).await }
+        async move { api::handle_request(&n, request).await }
     });
     let pool = node.served_connections.clone();
     let serve = server::serve_pool(host, users, pool, api::connection_class, on_user);
@@ -110,13 +110,13 @@
     field: &'static str,
     addr: SocketAddr,
 ) -> Result<Listener, StartError> {
-    let bound = bind_patiently(host, addr).await;
+    let bound = bind_with_retries(host, addr).await;
     bound.map_err(|error| StartError::Bind { field, addr, error })
 }
 
 /// Binds an address, retrying for `BIND_RETRY_FOR_S` while it is in use: a process that is
 /// restarted at once may find its predecessor still listening.
-async fn bind_patiently(host: &Runtime, addr: SocketAddr) -> io::Result<Listener> {
+async fn bind_with_retries(host: &Runtime, addr: SocketAddr) -> io::Result<Listener> {
     let until = host.now() + cherrywood_limits::BIND_RETRY_FOR_S;
     loop {
         match host.bind(addr).await {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -125,9 +125,9 @@
     }
 
     /// Records that the key-value store has just responded to this controller.
-    pub fn note_store_answer(&self) {
+    pub fn record_store_response(&self) {
         let now = self.now();
-        self.lock_state().store_contact.answered(now);
+        self.lock_state().store_contact.record_response(now);
     }
 
     /// Wakes the tasks that commit placements and job records.
--- a/crates/node/src/peer_requests.rs
+++ b/crates/node/src/peer_requests.rs
@@ -6,7 +6,7 @@
 
 use crate::frames;
 use crate::node::Node;
-use crate::task_counts::counted_by;
+use crate::task_counts::leader_task_counts;
 use cherrywood_limits as limits;
 use cherrywood_net::peer::PeerClient;
 use cherrywood_wire::admission::TableVersion;
@@ -35,9 +35,9 @@
                     if bytes > limits::PEER_FRAME_ANSWERS_BYTES_MAX {
                         return None;
                     }
-                    let answer = self.handle_heartbeat(&from, heartbeat, run_times)?;
-                    bytes += frames::commands_bytes(&answer.commands);
-                    Some((answer.fencing_token, answer.commands))
+                    let response = self.handle_heartbeat(&from, heartbeat, run_times)?;
+                    bytes += frames::commands_bytes(&response.commands);
+                    Some((response.fencing_token, response.commands))
                 });
                 PeerReply::Heartbeats {
                     answers: answers.collect(),
@@ -49,7 +49,7 @@
                     executed: deliveries.into_iter().map(Into::into).collect(),
                 }
             }
-            PeerRequest::TaskCounts { jobs } => self.handle_counts(&jobs),
+            PeerRequest::TaskCounts { jobs } => self.handle_task_counts(&jobs),
         }
     }
 
@@ -66,7 +66,7 @@
         let contact = &mut state.store_contact;
         contact.peer_last_heard_at = now;
         if peer_reaches_store {
-            contact.answered_peer(now);
+            contact.record_peer_response(now);
         }
         let store_reachable = contact.is_recent(now);
         let leading_term = state.term.leader_if_may_write(now).map(|l| l.term());
@@ -84,26 +84,28 @@
         }
     }
 
-    fn handle_counts(&self, jobs: &[String]) -> PeerReply {
+    fn handle_task_counts(&self, jobs: &[String]) -> PeerReply {
         let now = self.now();
         match self.lock_state().term.leader_if_may_write(now) {
             Some(leader) => PeerReply::TaskCounts {
-                counts: counted_by(leader, jobs, now),
+                counts: leader_task_counts(leader, jobs, now),
             },
             None => PeerReply::Declined,
         }
     }
 
     /// Sends a hello to one peer, and applies its response.
-    pub(crate) async fn say_hello(&self, peer: &PeerClient) {
+    pub(crate) async fn send_hello(&self, peer: &PeerClient) {
         let sent = self.now();
         let store_reachable = self.lock_state().store_contact.is_recent(sent);
-        let news = self.admission_filter.refusals_to_tell(&peer.label, sent);
+        let refusals = self
+            .admission_filter
+            .unacknowledged_refusals(&peer.label, sent);
         let request = PeerRequest::Hello {
             from: self.label().to_string(),
             store_reachable,
             table_version: self.admission_filter.table_version(),
-            refused: news.refused,
+            refused: refusals.refused,
         };
         let reply = peer
             .ask(&request, limits::HEARTBEAT_FORWARD_TIMEOUT_S)
@@ -120,7 +122,7 @@
             return;
         };
         let filter = &self.admission_filter;
-        filter.refusals_acknowledged(&peer.label, process_id, news.next_sequence);
+        filter.acknowledge_refusals(&peer.label, process_id, refusals.next_sequence);
         let now = self.now();
         if let Some(table) = table {
             filter.adopt_if_newer(&table);
@@ -131,10 +133,10 @@
         let mut state = self.lock_state();
         state.store_contact.peer_last_heard_at = now;
         if store_reachable {
-            state.store_contact.answered_peer(sent);
+            state.store_contact.record_peer_response(sent);
         }
         if leading_term.is_some() {
-            state.leader_contact.answered_as_leader(from, now);
+            state.leader_contact.record_leader_response(from, now);
             for (machine, token) in shard {
                 let shard_lease_s = self.timing.shard_lease_s;
                 state
--- a/crates/node/src/responses.rs
+++ b/crates/node/src/responses.rs
@@ -23,7 +23,7 @@
     /// The job is over.
     Ended { id: String, value: FinalStateRecord },
     /// A worker's heartbeat was accepted, with this response.
-    HeartbeatAnswered(HeartbeatResponse),
+    HeartbeatAccepted(HeartbeatResponse),
     /// The submission violates the protocol, for this reason.
     Malformed(String),
     /// The body is not a heartbeat.
@@ -75,7 +75,7 @@
                 let all_done = (value.state == JobState::Done).then_some((value.tasks, 0));
                 job_status(200, id, value.state, all_done)
             }
-            Outcome::HeartbeatAnswered(answer) => Response::new(200, encode(&answer)),
+            Outcome::HeartbeatAccepted(response) => Response::new(200, encode(&response)),
             Outcome::Malformed(why) => refusal(400, why),
             Outcome::UnreadableHeartbeat => Response::empty(400),
             Outcome::NotFound => Response::empty(404),
--- a/crates/node/src/state/leader_contact.rs
+++ b/crates/node/src/state/leader_contact.rs
@@ -10,20 +10,20 @@
     /// Time at which the key-value store last named another controller as the leader.
     pub named_by_store_at: f64,
     /// Time of the last response of that leader to this controller.
-    pub last_answered_at: f64,
+    pub last_response_at: f64,
 }
 
 impl LeaderContact {
     /// Records that the key-value store named another controller as the leader.
-    pub fn named_by_store(&mut self, leader: String, now: f64) {
+    pub fn record_stored_leader(&mut self, leader: String, now: f64) {
         self.known_leader = Some(leader);
         self.named_by_store_at = now;
     }
 
     /// Records that another controller responded to a hello as the leader.
-    pub fn answered_as_leader(&mut self, leader: String, now: f64) {
+    pub fn record_leader_response(&mut self, leader: String, now: f64) {
         self.known_leader = Some(leader);
-        self.last_answered_at = now;
+        self.last_response_at = now;
     }
 
     /// Clears the known leader if it is the controller `label`.
@@ -35,7 +35,7 @@
 
     /// Whether the leader has been silent for so long that no request should wait for it.
     pub fn is_silent(&self, now: f64) -> bool {
-        now - self.last_answered_at > limits::LEADER_UNREACHABLE_S
+        now - self.last_response_at > limits::LEADER_UNREACHABLE_S
     }
 
     /// Whether there is a leader that others reach and this controller does not.
--- a/crates/node/src/state/leader_term.rs
+++ b/crates/node/src/state/leader_term.rs
@@ -68,9 +68,9 @@
 
     /// Gives up leadership. Returns false if this controller did not lead.
     pub fn end(&mut self) -> bool {
-        let led = self.leader.take().is_some() || self.leadership.lease_id() != 0;
+        let was_leading = self.leader.take().is_some() || self.leadership.lease_id() != 0;
         self.leadership.lost();
         self.unread_submissions.clear();
-        led
+        was_leading
     }
 }
--- a/crates/node/src/status_queries.rs
+++ b/crates/node/src/status_queries.rs
@@ -16,7 +16,7 @@
 
 /// The result of a status query.
 #[derive(Debug)]
-pub enum QueryAnswer {
+pub enum QueryResult {
     /// The job is not over.
     Live {
         /// Tasks that ended as done.
@@ -33,7 +33,7 @@
 }
 
 /// Channels of the waiting queries, by job id.
-pub type QueryBatch = BTreeMap<String, Vec<oneshot::Sender<QueryAnswer>>>;
+pub type QueryBatch = BTreeMap<String, Vec<oneshot::Sender<QueryResult>>>;
 
 #[derive(Debug, Default)]
 struct Queue {
@@ -64,22 +64,22 @@
     }
 
     /// Queues a query for this job's state and waits for its result.
-    pub async fn query(&self, id: &str) -> QueryAnswer {
-        let (answer, answered) = oneshot::channel();
-        self.enqueue(id, answer);
+    pub async fn query(&self, id: &str) -> QueryResult {
+        let (sender, result) = oneshot::channel();
+        self.enqueue(id, sender);
         self.due.notify_one();
-        answered.await.unwrap_or(QueryAnswer::Unavailable)
+        result.await.unwrap_or(QueryResult::Unavailable)
     }
 
     /// Queues a query for this job's state, without notifying `due`.
-    pub fn enqueue(&self, id: &str, answer: oneshot::Sender<QueryAnswer>) {
+    pub fn enqueue(&self, id: &str, waiter: oneshot::Sender<QueryResult>) {
         let mut queue = lock(&self.queue);
         let queue = &mut *queue;
-        let askers = queue.waiting.entry(id.to_string()).or_default();
-        if askers.is_empty() {
+        let waiters = queue.waiting.entry(id.to_string()).or_default();
+        if waiters.is_empty() {
             queue.order.push_back(id.to_string());
         }
-        askers.push(answer);
+        waiters.push(waiter);
     }
 
     /// Takes at most `max_jobs` jobs with all their waiting queries, in the order of the jobs'
@@ -89,20 +89,20 @@
     /// concern more jobs than a comparison can hold. In order of arrival a query waits only for
     /// the batches before it, regardless of later queries: `jobs queried at once / max_jobs`
     /// times `POLL_BATCH_INTERVAL_S`.
-    pub fn take_batch(&self, most: usize) -> QueryBatch {
+    pub fn take_batch(&self, max_jobs: usize) -> QueryBatch {
         let mut queue = lock(&self.queue);
         let queue = &mut *queue;
         let mut batch = QueryBatch::new();
-        while batch.len() < most
+        while batch.len() < max_jobs
             && let Some(id) = queue.order.pop_front()
         {
-            let Some(mut askers) = queue.waiting.remove(&id) else {
+            let Some(mut waiters) = queue.waiting.remove(&id) else {
                 continue;
             };
             // Queries whose requests have ended do not count.
-            askers.retain(|a| !a.is_closed());
-            if !askers.is_empty() {
-                batch.insert(id, askers);
+            waiters.retain(|w| !w.is_closed());
+            if !waiters.is_empty() {
+                batch.insert(id, waiters);
             }
         }
         batch
--- a/crates/node/src/submissions.rs
+++ b/crates/node/src/submissions.rs
@@ -10,7 +10,7 @@
 use crate::job_records;
 use crate::node::Node;
 use crate::responses::{Outcome, respond_in_span};
-use crate::status_queries::QueryAnswer;
+use crate::status_queries::QueryResult;
 use crate::task_counts::TaskCounts;
 use cherrywood_admission::{Decision, job_hash};
 use cherrywood_net::rate_limiter::RequestPriority;
@@ -34,7 +34,7 @@
         Err(e) => {
             let malformed = Outcome::Malformed(e.to_string());
             let outcome = match submitted_job_id(body) {
-                Some(id) => unless_known(node, &id, malformed).await,
+                Some(id) => refuse_unless_known(node, &id, malformed).await,
                 None => malformed,
             };
             return outcome.into();
@@ -52,12 +52,12 @@
     }
     let machine_types = node.lock_state().machine_types.clone();
     if machine_types.is_empty() {
-        return unless_known(node, &job.id, Outcome::Unavailable).await;
+        return refuse_unless_known(node, &job.id, Outcome::Unavailable).await;
     }
     let teams = &node.settings.platform.deployment.cluster.teams;
     if let Err(e) = check_feasible(&job, teams, &machine_types) {
         let infeasible = Outcome::Infeasible(e.to_string());
-        return unless_known(node, &job.id, infeasible).await;
+        return refuse_unless_known(node, &job.id, infeasible).await;
     }
     if job.dependencies.is_empty() {
         return accept_independent(node, &job).await;
@@ -67,7 +67,10 @@
     match dependencies::check(node, &job).await {
         Ok(state) => commit(node, &job, state).await,
         Err(dependencies::Error::Store(e)) => Outcome::store_failed(node, "waits_on", &e),
-        Err(e) => unless_known(node, &job.id, Outcome::Infeasible(e.to_string())).await,
+        Err(e) => {
+            let infeasible = Outcome::Infeasible(e.to_string());
+            refuse_unless_known(node, &job.id, infeasible).await
+        }
     }
 }
 
@@ -97,7 +100,7 @@
         Ok(result) => matches!(result, TxnOutcome::Applied(_)),
         Err(e) => return Outcome::store_failed(node, "submit", &e),
     };
-    node.note_store_answer();
+    node.record_store_response();
     if !applied {
         return repeated_submission(node, &job.id).await;
     }
@@ -139,18 +142,18 @@
 /// well.
 pub(crate) async fn known_state(node: &Node, id: &str) -> Option<Outcome> {
     match node.status_queries.query(id).await {
-        QueryAnswer::Live { done, running } => Some(Outcome::Live {
+        QueryResult::Live { done, running } => Some(Outcome::Live {
             id: id.to_string(),
             done,
             running,
         }),
-        QueryAnswer::Ended(value) => Some(Outcome::ended(id, &value)),
-        QueryAnswer::UnknownJob => None,
-        QueryAnswer::Unavailable => Some(Outcome::Unavailable),
+        QueryResult::Ended(value) => Some(Outcome::ended(id, &value)),
+        QueryResult::UnknownJob => None,
+        QueryResult::Unavailable => Some(Outcome::Unavailable),
     }
 }
 
 /// Returns the refusal if the job is proven unknown, else the job's state, or `Unavailable`.
-async fn unless_known(node: &Node, id: &str, refusal: Outcome) -> Outcome {
+async fn refuse_unless_known(node: &Node, id: &str, refusal: Outcome) -> Outcome {
     known_state(node, id).await.unwrap_or(refusal)
 }
--- a/crates/node/src/task_counts.rs
+++ b/crates/node/src/task_counts.rs
@@ -42,7 +42,7 @@
 }
 
 /// The counts (done, running) of each job, in the form of peer frames.
-pub(crate) fn counted_by(leader: &Leader, jobs: &[String], now: f64) -> Vec<(u32, u32)> {
+pub(crate) fn leader_task_counts(leader: &Leader, jobs: &[String], now: f64) -> Vec<(u32, u32)> {
     jobs.iter()
         .map(|job| leader.task_counts(job, now).unwrap_or_default())
         .collect()
@@ -56,7 +56,7 @@
         let leader_to_ask = {
             let mut state = self.lock_state();
             if let Some(leader) = state.term.leader_if_may_write(now) {
-                return typed(counted_by(leader, jobs, now));
+                return from_frame(leader_task_counts(leader, jobs, now));
             }
             let contact = &state.leader_contact;
             let known_leader = contact.known_leader.clone();
@@ -69,7 +69,7 @@
                 };
                 match leader.ask(&request, limits::TASK_COUNTS_TIMEOUT_S).await {
                     Ok(PeerReply::TaskCounts { counts }) if counts.len() == jobs.len() => {
-                        typed(counts)
+                        from_frame(counts)
                     }
                     _ => vec![TaskCounts::default(); jobs.len()],
                 }
@@ -79,6 +79,6 @@
     }
 }
 
-fn typed(counts: Vec<(u32, u32)>) -> Vec<TaskCounts> {
+fn from_frame(counts: Vec<(u32, u32)>) -> Vec<TaskCounts> {
     counts.into_iter().map(TaskCounts::from).collect()
 }
--- a/crates/node/src/worker_client.rs
+++ b/crates/node/src/worker_client.rs
@@ -30,7 +30,7 @@
             )
             .await;
         match sent {
-            Ok(answer) if answer.status == 200 => CommandOutcome::Executed,
+            Ok(response) if response.status == 200 => CommandOutcome::Executed,
             Ok(_) | Err(NetError::NotExecuted { .. }) => CommandOutcome::NotExecuted,
             Err(_) => CommandOutcome::Unknown,
         }
@@ -60,21 +60,22 @@
 
     /// Sends commands to a worker whose heartbeats do not arrive. Returns the heartbeat in its
     /// response, if it responds.
-    pub(crate) async fn command_silent_worker(
+    pub(crate) async fn send_commands_to_silent_worker(
         &self,
         addr: &str,
         commands: &DirectCommands,
     ) -> Option<Heartbeat> {
         let body = cherrywood_wire::encode(commands);
-        self.ask_worker(addr, "POST", "/orders", Some(&body)).await
+        self.request_heartbeat(addr, "POST", "/orders", Some(&body))
+            .await
     }
 
     /// A worker's status, in the form of a heartbeat; `None` if the worker does not respond.
     pub(crate) async fn worker_status(&self, addr: &str) -> Option<Heartbeat> {
-        self.ask_worker(addr, "GET", "/status", None).await
+        self.request_heartbeat(addr, "GET", "/status", None).await
     }
 
-    async fn ask_worker(
+    async fn request_heartbeat(
         &self,
         addr: &str,
         method: &str,
--- a/crates/node/tests/admission_filter.rs
+++ b/crates/node/tests/admission_filter.rs
@@ -75,15 +75,19 @@
         Decision::Refuse { .. }
     ));
     here.record_refusal(&refused, 50.0);
-    let news = here.refusals_to_tell("there", 51.0);
-    there.record_peer_refusals(&news.refused, 1051.0);
+    let refusals = here.unacknowledged_refusals("there", 51.0);
+    there.record_peer_refusals(&refusals.refused, 1051.0);
     assert_eq!(
-        here.refusals_to_tell("there", 51.0).refused.len(),
+        here.unacknowledged_refusals("there", 51.0).refused.len(),
         1,
-        "not told until the answer came"
+        "sent again until acknowledged"
+    );
+    here.acknowledge_refusals("there", 1, refusals.next_sequence);
+    assert!(
+        here.unacknowledged_refusals("there", 51.0)
+            .refused
+            .is_empty()
     );
-    here.refusals_acknowledged("there", 1, news.next_sequence);
-    assert!(here.refusals_to_tell("there", 51.0).refused.is_empty());
     for waited in [5.0, 11.0, 13.0, 30.0] {
         assert_eq!(
             here.decide(&refused, 50.0 + waited),
@@ -101,23 +105,27 @@
     const NEW_PROCESS: u64 = 8;
     let (here, restarted) = filters();
     here.record_refusal(&job("wk-000001", 12), 50.0);
-    let news = here.refusals_to_tell("there", 50.5);
-    here.refusals_acknowledged("there", EARLIER_PROCESS, news.next_sequence);
+    let refusals = here.unacknowledged_refusals("there", 50.5);
+    here.acknowledge_refusals("there", EARLIER_PROCESS, refusals.next_sequence);
     here.record_refusal(&job("wk-000002", 12), 51.0);
     // The next hello reaches the new process, which responds with its own id.
-    let news = here.refusals_to_tell("there", 51.5);
-    assert_eq!(news.refused.len(), 1);
-    restarted.record_peer_refusals(&news.refused, 51.5);
-    here.refusals_acknowledged("there", NEW_PROCESS, news.next_sequence);
-    let news = here.refusals_to_tell("there", 52.5);
+    let refusals = here.unacknowledged_refusals("there", 51.5);
+    assert_eq!(refusals.refused.len(), 1);
+    restarted.record_peer_refusals(&refusals.refused, 51.5);
+    here.acknowledge_refusals("there", NEW_PROCESS, refusals.next_sequence);
+    let refusals = here.unacknowledged_refusals("there", 52.5);
     assert_eq!(
-        news.refused.len(),
+        refusals.refused.len(),
         2,
-        "also what the earlier process had heard"
+        "including the refusal that the earlier process knew"
+    );
+    restarted.record_peer_refusals(&refusals.refused, 52.5);
+    here.acknowledge_refusals("there", NEW_PROCESS, refusals.next_sequence);
+    assert!(
+        here.unacknowledged_refusals("there", 53.5)
+            .refused
+            .is_empty()
     );
-    restarted.record_peer_refusals(&news.refused, 52.5);
-    here.refusals_acknowledged("there", NEW_PROCESS, news.next_sequence);
-    assert!(here.refusals_to_tell("there", 53.5).refused.is_empty());
     let refused = job("wk-000001", 12);
     assert_eq!(
         here.decide(&refused, 63.0),
--- a/crates/node/tests/answer_consistency.rs
+++ b/crates/node/tests/answer_consistency.rs
@@ -13,16 +13,16 @@
 
 const ID: &str = "wk-000001";
 
-fn answer(status: u16, state: &str) -> Answer {
+fn expected(status: u16, state: &str) -> StatusAndText {
     (status, state.to_string())
 }
 
-fn spawn_query(cluster: &TestCluster, n: usize) -> JoinHandle<Answer> {
+fn spawn_query(cluster: &TestCluster, n: usize) -> JoinHandle<StatusAndText> {
     let at = cluster.at(n);
     tokio::spawn(async move { at.query(ID).await })
 }
 
-fn spawn_submit(cluster: &TestCluster, n: usize, job: &Submission) -> JoinHandle<Answer> {
+fn spawn_submit(cluster: &TestCluster, n: usize, job: &Submission) -> JoinHandle<StatusAndText> {
     let (at, job) = (cluster.at(n), job.clone());
     tokio::spawn(async move { at.submit(&job).await })
 }
@@ -38,18 +38,18 @@
             let leader = FakeLeader::start().await;
             let cluster = TestCluster::led_by(&leader, 2).await;
             let job = job(ID, &[]);
-            assert_eq!(cluster.at(1).submit(&job).await, answer(201, "Queued"));
-            let asked = match repeat {
+            assert_eq!(cluster.at(1).submit(&job).await, expected(201, "Queued"));
+            let pending = match repeat {
                 true => spawn_submit(&cluster, 0, &job),
                 false => spawn_query(&cluster, 0),
             };
-            leader.asked.notified().await;
+            leader.requested.notified().await;
             // A comparison sent together with the request for counts would have its response now.
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert_eq!(cluster.at(1).cancel(ID).await, 200);
-            leader.answer.notify_one();
-            let answered = asked.await.unwrap();
-            assert_eq!(answered, answer(200, "Cancelled"), "repeat: {repeat}");
+            leader.may_respond.notify_one();
+            let response = pending.await.unwrap();
+            assert_eq!(response, expected(200, "Cancelled"), "repeat: {repeat}");
         }
     });
 }
@@ -64,14 +64,14 @@
         let job = job(ID, &[]);
         assert_eq!(cluster.submit(&job).await.0, 201);
         let since = Instant::now();
-        assert_eq!(cluster.query(ID).await, answer(200, "Queued"));
-        assert_eq!(cluster.submit(&job).await, answer(200, "Queued"));
+        assert_eq!(cluster.query(ID).await, expected(200, "Queued"));
+        assert_eq!(cluster.submit(&job).await, expected(200, "Queued"));
         assert!(since.elapsed() < Duration::from_millis(1500));
-        cluster.node.lock_state().leader_contact.last_answered_at =
+        cluster.node.lock_state().leader_contact.last_response_at =
             cluster.node.now() - cherrywood_limits::LEADER_UNREACHABLE_S - 0.1;
         let since = Instant::now();
-        assert_eq!(cluster.query(ID).await, answer(200, "Queued"));
-        assert_eq!(cluster.submit(&job).await, answer(200, "Queued"));
+        assert_eq!(cluster.query(ID).await, expected(200, "Queued"));
+        assert_eq!(cluster.submit(&job).await, expected(200, "Queued"));
         assert!(since.elapsed() < Duration::from_millis(300));
     });
 }
@@ -79,34 +79,38 @@
 /// A transaction is executed and only its response is lost: the sender does not know the outcome,
 /// and all other controllers immediately report what it wrote, for every kind of request.
 #[test]
-fn write_whose_reply_is_lost_is_reported_by_every_controller() {
+fn write_whose_response_is_lost_is_reported_by_every_controller() {
     run(async {
         let cluster = TestCluster::of(3).await;
         let job = job(ID, &[]);
-        let everywhere = async |want: &str| {
+        let assert_state_everywhere = async |state: &str| {
             for n in [1, 0, 2] {
                 let at = cluster.at(n);
-                assert_eq!(at.submit(&job).await, answer(200, want), "node {n}");
-                assert_eq!(at.query(ID).await, answer(200, want), "node {n}");
+                assert_eq!(
+                    at.submit(&job).await,
+                    expected(200, state),
+                    "controller {n}"
+                );
+                assert_eq!(at.query(ID).await, expected(200, state), "controller {n}");
             }
         };
-        cluster.store_faults.lose_answers_to(Some("write"));
+        cluster.store_faults.lose_responses_to(Some("write"));
         assert_eq!(cluster.submit(&job).await.0, 503);
-        cluster.store_faults.lose_answers_to(None);
-        everywhere("Queued").await;
-        cluster.store_faults.lose_answers_to(Some("drop"));
+        cluster.store_faults.lose_responses_to(None);
+        assert_state_everywhere("Queued").await;
+        cluster.store_faults.lose_responses_to(Some("drop"));
         let cancelled = spawn_cancel(&cluster, 0);
         // The other controllers report the cancellation while the one that sent it still waits
         // for the store's response.
         tokio::time::sleep(Duration::from_millis(100)).await;
         for n in [1, 2] {
-            assert_eq!(cluster.at(n).submit(&job).await, answer(200, "Cancelled"));
-            assert_eq!(cluster.at(n).query(ID).await, answer(200, "Cancelled"));
+            assert_eq!(cluster.at(n).submit(&job).await, expected(200, "Cancelled"));
+            assert_eq!(cluster.at(n).query(ID).await, expected(200, "Cancelled"));
             assert_eq!(cluster.at(n).cancel(ID).await, 200);
         }
         assert_eq!(cancelled.await.unwrap(), 503);
-        cluster.store_faults.lose_answers_to(None);
-        everywhere("Cancelled").await;
+        cluster.store_faults.lose_responses_to(None);
+        assert_state_everywhere("Cancelled").await;
         assert_eq!(cluster.cancel(ID).await, 200);
     });
 }
@@ -127,13 +131,13 @@
         assert_eq!(cluster.cancel(ID).await, 503);
         cluster.store_faults.refuse(&[]);
         for n in [0, 1] {
-            assert_eq!(cluster.at(n).query(ID).await, answer(200, "Queued"));
+            assert_eq!(cluster.at(n).query(ID).await, expected(200, "Queued"));
         }
         commit_end_as_done(&cluster.at(1), ID).await;
         for n in [0, 1] {
             let path = format!("/submissions/{ID}/cancel");
             let response = cluster.at(n).post(&path, Vec::new()).await;
-            assert_eq!(status_and_text(&response), answer(200, "Done"));
+            assert_eq!(status_and_text(&response), expected(200, "Done"));
         }
     });
 }
@@ -155,10 +159,10 @@
             id: "wk-000002".into(),
             ..spec.clone()
         };
-        assert_eq!(cluster.at(0).submit(&spec).await, answer(201, "Queued"));
+        assert_eq!(cluster.at(0).submit(&spec).await, expected(201, "Queued"));
         let other = cluster.at(1);
         other.node.lock_state().machine_types[0].name = "m16".into();
-        assert_eq!(other.submit(&spec).await, answer(200, "Queued"), "types");
+        assert_eq!(other.submit(&spec).await, expected(200, "Queued"), "types");
         assert_eq!(other.submit(&new).await.0, 422);
         // While the store refuses requests it is not known whether the job was accepted, so the
         // job is not refused for good.
@@ -166,11 +170,15 @@
         assert_eq!(other.submit(&spec).await.0, 503);
         cluster.store_faults.refuse(&[]);
         other.node.lock_state().machine_types.clear();
-        assert_eq!(other.submit(&spec).await, answer(200, "Queued"), "no types");
+        assert_eq!(
+            other.submit(&spec).await,
+            expected(200, "Queued"),
+            "no types"
+        );
         assert_eq!(other.submit(&new).await.0, 503);
         other.node.lock_state().machine_types = types();
         // The same id, with a team that this controller's settings lack, or with too many CPUs.
-        for stranger in [
+        for infeasible in [
             Submission {
                 team: "x".into(),
                 ..spec.clone()
@@ -180,11 +188,11 @@
                 ..spec.clone()
             },
         ] {
-            assert_eq!(other.submit(&stranger).await, answer(200, "Queued"));
+            assert_eq!(other.submit(&infeasible).await, expected(200, "Queued"));
         }
         assert_eq!(cluster.at(0).cancel(ID).await, 200);
         other.node.lock_state().machine_types[0].name = "m16".into();
-        assert_eq!(other.submit(&spec).await, answer(200, "Cancelled"));
+        assert_eq!(other.submit(&spec).await, expected(200, "Cancelled"));
     });
 }
 
@@ -201,7 +209,7 @@
             .delete_record(&cherrywood_control::keys::job("wk-000007"))
             .await;
         for n in [0, 1] {
-            assert_eq!(cluster.at(n).submit(&spec).await, answer(200, "Queued"));
+            assert_eq!(cluster.at(n).submit(&spec).await, expected(200, "Queued"));
         }
         assert_eq!(
             cluster.submit(&job("wk-000002", &["wk-000007"])).await.0,
@@ -232,15 +240,15 @@
             for (old, new) in bodies(ID).into_iter().zip(bodies("wk-000002")) {
                 let at = cluster.at(n);
                 let known = status_and_text(&at.post("/submissions", old).await);
-                assert_eq!(known, answer(200, "Queued"));
+                assert_eq!(known, expected(200, "Queued"));
                 assert_eq!(at.post("/submissions", new).await.status, 400);
             }
         }
         cluster.store_faults.refuse(&["/"]);
         let known = bodies(ID).into_iter().next().unwrap();
         assert_eq!(cluster.post("/submissions", known).await.status, 503);
-        for none in [vec![0x80], encode(&job("000412", &[])), vec![]] {
-            assert_eq!(cluster.post("/submissions", none).await.status, 400);
+        for without_id in [vec![0x80], encode(&job("000412", &[])), vec![]] {
+            assert_eq!(cluster.post("/submissions", without_id).await.status, 400);
         }
     });
 }
@@ -251,16 +259,16 @@
     run(async {
         let cluster = TestCluster::of(1).await;
         let before = cluster.store_faults.count();
-        let mut answers = Vec::new();
+        let mut submissions = Vec::new();
         for n in 0..60 {
             let spec = Submission {
                 team: "x".into(),
                 ..job(&format!("wk-{n:06}"), &[])
             };
-            answers.push(spawn_submit(&cluster, 0, &spec));
+            submissions.push(spawn_submit(&cluster, 0, &spec));
         }
-        for answer in answers {
-            assert_eq!(answer.await.unwrap().0, 422);
+        for submission in submissions {
+            assert_eq!(submission.await.unwrap().0, 422);
         }
         assert!(
             cluster.store_faults.count() - before <= 2,
@@ -275,14 +283,14 @@
 /// A response about a job, with the times of its request and its arrival.
 struct Observation {
     sent: Instant,
-    at: Instant,
-    answer: Answer,
+    received: Instant,
+    response: StatusAndText,
 }
 
 /// Stage of the job according to a response: 0 if accepted, 1 if over; `None` if the response does
 /// not tell.
-fn stage(answer: &Answer) -> Option<u8> {
-    match (answer.0, answer.1.as_str()) {
+fn stage(response: &StatusAndText) -> Option<u8> {
+    match (response.0, response.1.as_str()) {
         (200 | 201, "Queued" | "Running") => Some(0),
         (200 | 201, "Done" | "Cancelled") => Some(1),
         _ => None,
@@ -291,20 +299,20 @@
 
 /// Checks that no request sent after a response had arrived gets a response with an older state,
 /// and that all final states are the same.
-fn assert_consistent(seen: &[Observation]) {
-    for first in seen {
-        let Some(stage_of_first) = stage(&first.answer) else {
+fn assert_consistent(observations: &[Observation]) {
+    for first in observations {
+        let Some(first_stage) = stage(&first.response) else {
             continue;
         };
-        for later in seen.iter().filter(|later| later.sent > first.at) {
-            let what = format!("{:?}, and later {:?}", first.answer, later.answer);
-            assert!(!matches!(later.answer.0, 400 | 404 | 422), "{what}");
-            let Some(stage_of_later) = stage(&later.answer) else {
+        for later in observations.iter().filter(|l| l.sent > first.received) {
+            let both = format!("{:?}, and later {:?}", first.response, later.response);
+            assert!(!matches!(later.response.0, 400 | 404 | 422), "{both}");
+            let Some(later_stage) = stage(&later.response) else {
                 continue;
             };
-            assert!(stage_of_later >= stage_of_first, "{what}");
-            if stage_of_first == 1 {
-                assert_eq!(later.answer.1, first.answer.1);
+            assert!(later_stage >= first_stage, "{both}");
+            if first_stage == 1 {
+                assert_eq!(later.response.1, first.response.1);
             }
         }
     }
@@ -316,8 +324,8 @@
     use cherrywood_net::rate_limiter::RequestPriority;
     use cherrywood_wire::records::{FinalStateRecord, JobRecord, StoredRecord};
     use cherrywood_wire::store::{Change, Guard, Txn};
-    let state = &cluster.node.store;
-    let Ok(Some(job)) = state.get::<JobRecord>(&keys::job(id)).await else {
+    let store = &cluster.node.store;
+    let Ok(Some(job)) = store.get::<JobRecord>(&keys::job(id)).await else {
         return;
     };
     let done = FinalStateRecord {
@@ -326,9 +334,9 @@
         ended_at_ms: None,
     };
     let (live, over) = (keys::job(id), keys::ended(id));
-    let guard = |key: &String, version| Guard {
+    let guard = |key: &String, revision| Guard {
         key: key.clone(),
-        revision: version,
+        revision,
     };
     let guards = vec![guard(&live, job.revision), guard(&over, 0)];
     let (value, lease) = (StoredRecord::FinalState(done), None);
@@ -341,7 +349,7 @@
         },
     ];
     let txn = Txn { guards, changes };
-    let _ = state.txn(&txn, RequestPriority::Critical).await;
+    let _ = store.txn(&txn, RequestPriority::Critical).await;
 }
 
 /// Users query the job and repeat its submission at all controllers, some cancel it, and the job
@@ -350,50 +358,56 @@
 async fn exercise_job(cluster: &TestCluster, number: u64) {
     let spec = job(&format!("wk-{number:06}"), &[]);
     let id = spec.id.clone();
-    let mut asks: Vec<JoinHandle<Vec<Observation>>> = Vec::new();
+    let mut clients: Vec<JoinHandle<Vec<Observation>>> = Vec::new();
     for n in 0..cluster.nodes.len() {
         let (at, spec, id) = (cluster.at(n), spec.clone(), id.clone());
-        asks.push(tokio::spawn(async move {
-            let mut seen = Vec::new();
+        clients.push(tokio::spawn(async move {
+            let mut observations = Vec::new();
             // The first controller's first request is the submission; the other clients skip their
             // first round and send requests while the submission is pending.
             for round in 0..12 {
                 let sent = Instant::now();
-                let answer = match (round + n) % 3 {
+                let response = match (round + n) % 3 {
                     0 => at.submit(&spec).await,
                     _ if round == 0 => continue,
                     _ => at.query(&id).await,
                 };
-                let at = Instant::now();
-                seen.push(Observation { sent, at, answer });
+                observations.push(Observation {
+                    sent,
+                    received: Instant::now(),
+                    response,
+                });
             }
-            seen
+            observations
         }));
     }
     for n in 0..2 {
         let (at, id) = (cluster.at(n), id.clone());
-        asks.push(tokio::spawn(async move {
+        clients.push(tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(150 + number % 7 * 40)).await;
-            let mut seen = Vec::new();
+            let mut observations = Vec::new();
             for _ in 0..3 {
                 let sent = Instant::now();
                 if number.is_multiple_of(3) || n == 1 {
                     commit_end_as_done(&at, &id).await;
                 } else {
                     let path = format!("/submissions/{id}/cancel");
-                    let answer = status_and_text(&at.post(&path, Vec::new()).await);
-                    let at = Instant::now();
-                    seen.push(Observation { sent, at, answer });
+                    let response = status_and_text(&at.post(&path, Vec::new()).await);
+                    observations.push(Observation {
+                        sent,
+                        received: Instant::now(),
+                        response,
+                    });
                 }
             }
-            seen
+            observations
         }));
     }
-    let mut seen = Vec::new();
-    for ask in asks {
-        seen.extend(ask.await.unwrap());
+    let mut observations = Vec::new();
+    for client in clients {
+        observations.extend(client.await.unwrap());
     }
-    assert_consistent(&seen);
+    assert_consistent(&observations);
 }
 
 #[test]
--- a/crates/node/tests/api.rs
+++ b/crates/node/tests/api.rs
@@ -7,7 +7,7 @@
 use cherrywood_node::api::connection_class;
 use cherrywood_wire::encode;
 use cherrywood_wire::user::{JobKind, Submission};
-use common::{TestCluster, ask, example, job, run, types};
+use common::{TestCluster, example, job, request, run, types};
 
 #[test]
 fn malformed_submissions_are_400() {
@@ -48,25 +48,25 @@
         let possible = job("wk-000001", &[]);
         let post = async |j: &Submission| cluster.post("/submissions", encode(j)).await;
         cluster.node.lock_state().machine_types.clear();
-        let answer = post(&possible).await;
-        let refusal = (answer.status, answer.retry_after_s);
-        assert_eq!(refusal, (503, Some(1)), "types unknown");
+        let response = post(&possible).await;
+        let refusal = (response.status, response.retry_after_s);
+        assert_eq!(refusal, (503, Some(1)), "machine types unknown");
         cluster.node.lock_state().machine_types = types();
-        let stranger = Submission {
+        let unknown_team = Submission {
             team: "x".into(),
             ..possible.clone()
         };
-        assert_eq!(post(&stranger).await.status, 422);
-        let large = Submission {
+        assert_eq!(post(&unknown_team).await.status, 422);
+        let too_large = Submission {
             cpus: 9.0,
             ..possible.clone()
         };
-        assert_eq!(post(&large).await.status, 422);
-        let elsewhere = Submission {
+        assert_eq!(post(&too_large).await.status, 422);
+        let unknown_machine_type = Submission {
             machine_types: Some(vec!["y".into()]),
             ..possible.clone()
         };
-        assert_eq!(post(&elsewhere).await.status, 422);
+        assert_eq!(post(&unknown_machine_type).await.status, 422);
         let service = Submission {
             kind: JobKind::Service,
             tasks: 9,
@@ -79,27 +79,33 @@
 #[test]
 fn unknown_paths_are_404_and_wrong_methods_405() {
     let node = example();
-    assert_eq!(ask(&node, "GET", "/nothing", vec![]).status, 404);
-    assert_eq!(ask(&node, "GET", "/submissions", vec![]).status, 405);
+    assert_eq!(request(&node, "GET", "/nothing", vec![]).status, 404);
+    assert_eq!(request(&node, "GET", "/submissions", vec![]).status, 405);
     assert_eq!(
-        ask(&node, "DELETE", "/submissions/wk-000001", vec![]).status,
+        request(&node, "DELETE", "/submissions/wk-000001", vec![]).status,
         405
     );
     assert_eq!(
-        ask(&node, "GET", "/submissions/wk-000001/cancel", vec![]).status,
+        request(&node, "GET", "/submissions/wk-000001/cancel", vec![]).status,
         405
     );
-    assert_eq!(ask(&node, "GET", "/submissions/what", vec![]).status, 404);
-    assert_eq!(ask(&node, "POST", "/agent/beat", vec![0x80]).status, 400);
     assert_eq!(
-        ask(&node, "GET", "/healthz", vec![]).status,
+        request(&node, "GET", "/submissions/what", vec![]).status,
+        404
+    );
+    assert_eq!(
+        request(&node, "POST", "/agent/beat", vec![0x80]).status,
+        400
+    );
+    assert_eq!(
+        request(&node, "GET", "/healthz", vec![]).status,
         503,
-        "no state contact yet"
+        "no contact with the key-value store yet"
     );
 }
 
 #[test]
-fn heartbeats_and_health_checks_are_told_from_users_requests() {
+fn heartbeats_and_health_checks_are_distinguished_from_users_requests() {
     let class = |method: &str, path: &str| {
         connection_class(&Request {
             method: method.into(),
--- a/crates/node/tests/chunked_values.rs
+++ b/crates/node/tests/chunked_values.rs
@@ -14,7 +14,7 @@
 /// A submission with a thousand dependencies, under limits of 2 KB per value and 16 changes per
 /// transaction, is written in chunks and read back whole. A repeated submission is recognised.
 #[test]
-fn submission_that_needs_a_thousand_jobs_is_stored_in_chunks() {
+fn submission_with_a_thousand_dependencies_is_stored_in_chunks() {
     run(async {
         let cluster = TestCluster::single().await;
         cluster.service.lock().unwrap().set_limits(allowed(2.0, 16));
@@ -43,7 +43,7 @@
         assert_eq!(
             row.value.submission.machine_types,
             Some(Vec::new()),
-            "fits nowhere as it is"
+            "the record alone allows no machine type"
         );
         let read = job_records::with_submission(&cluster.node, row.value.clone())
             .await
@@ -100,9 +100,9 @@
                 .await
                 .unwrap()
         };
-        assert_eq!(write(1).await, Ok(1), "whole, as production reads it");
+        assert_eq!(write(1).await, Ok(1), "whole, as the old version reads it");
         cluster.service.lock().unwrap().set_limits(allowed(2.0, 16));
-        assert_eq!(read().await, Some(histograms(1)), "what is stored stays");
+        assert_eq!(read().await, Some(histograms(1)), "stored value unchanged");
         assert!(write(2).await.is_err(), "refused for its size");
         let changes = write(2).await.unwrap();
         assert!(changes > 7, "{changes}");
@@ -117,25 +117,27 @@
             .await
             .unwrap();
         let slot = 1 - slot.unwrap().value.chunks.unwrap().slot;
-        let torn = format!("{}0", keys::parts(key, slot));
-        let part = cherrywood_wire::chunks::ChunkRecord {
+        let chunk_key = format!("{}0", keys::parts(key, slot));
+        let chunk = cherrywood_wire::chunks::ChunkRecord {
             set_id: 77,
             text: "half".into(),
         };
-        cluster.put_record(&torn, StoredRecord::Chunk(part)).await;
+        cluster
+            .put_record(&chunk_key, StoredRecord::Chunk(chunk))
+            .await;
         assert_eq!(read().await, Some(histograms(3)));
         write(4).await.unwrap();
         assert_eq!(read().await, Some(histograms(4)));
         // The previous version reads an empty value rather than an error.
         #[derive(serde::Deserialize)]
-        struct Old {
+        struct PreviousHistograms {
             pooled: String,
             keys: Vec<(String, u64, f64, String)>,
         }
         let old = cluster
             .node
             .store
-            .get::<Old>(key)
+            .get::<PreviousHistograms>(key)
             .await
             .unwrap()
             .unwrap()
@@ -148,16 +150,16 @@
         write(5).await.unwrap();
         assert_eq!(read().await, Some(histograms(5)));
         let store_limits = cluster.node.store.limits();
-        let least = ConfiguredLimits {
+        let lowest = ConfiguredLimits {
             rps: 9000.0,
             write_rps: 9000.0,
             value_kb: 1.0,
             txn_ops: 8,
         };
-        let small = StoreLimits::new(least, least);
+        let expected = StoreLimits::new(lowest, lowest);
         assert_eq!(
             (store_limits.value_bytes, store_limits.txn_changes),
-            (small.value_bytes, small.txn_changes)
+            (expected.value_bytes, expected.txn_changes)
         );
     });
 }
--- a/crates/node/tests/common/cluster.rs
+++ b/crates/node/tests/common/cluster.rs
@@ -1,7 +1,7 @@
 //! A cluster of controllers against one key-value store.
 
 use super::store_faults::{StoreFaults, serve_store};
-use super::{Answer, FakeLeader, allowed, node_with, status_and_text, types};
+use super::{FakeLeader, StatusAndText, allowed, node_with, status_and_text, types};
 use cherrywood_net::rate_limiter::RequestPriority;
 use cherrywood_net::server::{Request, Response};
 use cherrywood_net::{Listener, Runtime};
@@ -45,11 +45,11 @@
     pub store_faults: Arc<StoreFaults>,
 }
 
-fn members(of: &[(String, SocketAddr)]) -> String {
+fn members(controllers: &[(String, SocketAddr)]) -> String {
     let member = |(label, at): &(String, SocketAddr)| {
         format!("[[members]]\nlabel = \"{label}\"\nzone = \"z0\"\nendpoint = \"{at}\"\n")
     };
-    of.iter().map(member).collect()
+    controllers.iter().map(member).collect()
 }
 
 impl TestCluster {
@@ -124,20 +124,20 @@
     }
 
     /// Queries the state of a job.
-    pub async fn query(&self, id: &str) -> Answer {
+    pub async fn query(&self, id: &str) -> StatusAndText {
         let (method, path) = ("GET".to_string(), format!("/submissions/{id}"));
         let body = Vec::new();
-        status_and_text(&api::answer(&self.node, Request { method, path, body }).await)
+        status_and_text(&api::handle_request(&self.node, Request { method, path, body }).await)
     }
 
     /// Sends a POST request with this body.
     pub async fn post(&self, path: &str, body: Vec<u8>) -> Response {
         let (method, path) = ("POST".to_string(), path.to_string());
-        api::answer(&self.node, Request { method, path, body }).await
+        api::handle_request(&self.node, Request { method, path, body }).await
     }
 
     /// Submits a job.
-    pub async fn submit(&self, job: &Submission) -> Answer {
+    pub async fn submit(&self, job: &Submission) -> StatusAndText {
         status_and_text(&self.post("/submissions", encode(job)).await)
     }
 
--- a/crates/node/tests/common/fake_leader.rs
+++ b/crates/node/tests/common/fake_leader.rs
@@ -12,9 +12,9 @@
     /// Address on which it listens for other controllers.
     pub addr: SocketAddr,
     /// Notified when a request for task counts has arrived.
+    pub requested: Arc<Notify>,
     /// Permits the response to one request: no task done, one task running.
-    pub asked: Arc<Notify>,
-    pub answer: Arc<Notify>,
+    pub may_respond: Arc<Notify>,
 }
 
 impl FakeLeader {
@@ -25,16 +25,16 @@
         let host = Runtime::native();
         let listener = host.bind(([127, 0, 0, 1], 0).into()).await.unwrap();
         let addr = listener.local_addr().unwrap();
-        let (asked, answer) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
-        let (on_asked, may_answer) = (asked.clone(), answer.clone());
+        let (requested, may_respond) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
+        let notifies = (requested.clone(), may_respond.clone());
         let on_request = move |request| {
-            let (on_asked, may_answer) = (on_asked.clone(), may_answer.clone());
+            let (requested, may_respond) = notifies.clone();
             async move {
                 let peer::PeerRequest::TaskCounts { jobs } = request else {
                     return peer::PeerReply::Declined;
                 };
-                on_asked.notify_one();
-                may_answer.notified().await;
+                requested.notify_one();
+                may_respond.notified().await;
                 let counts = vec![(0, 1); jobs.len()];
                 peer::PeerReply::TaskCounts { counts }
             }
@@ -43,8 +43,8 @@
         tokio::spawn(cherrywood_net::peer::serve(host, listener, on_request));
         FakeLeader {
             addr,
-            asked,
-            answer,
+            requested,
+            may_respond,
         }
     }
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -74,9 +74,9 @@
 }
 
 /// Sends one request to a controller.
-pub fn ask(node: &Node, method: &str, path: &str, body: Vec<u8>) -> Response {
+pub fn request(node: &Node, method: &str, path: &str, body: Vec<u8>) -> Response {
     let (method, path) = (method.to_string(), path.to_string());
-    run(api::answer(node, Request { method, path, body }))
+    run(api::handle_request(node, Request { method, path, body }))
 }
 
 /// Limits of the key-value store, with high request rates.
@@ -106,17 +106,17 @@
 }
 
 /// Status of a response, with the job's state or the reason of a refusal.
-pub type Answer = (u16, String);
+pub type StatusAndText = (u16, String);
 
 /// The status of a response, with the job's state or the reason of a refusal.
-pub fn status_and_text(response: &Response) -> Answer {
+pub fn status_and_text(response: &Response) -> StatusAndText {
     let state = decode::<JobStatus>(&response.body).map(|s| format!("{:?}", s.state));
     let why = decode::<ErrorResponse>(&response.body).map(|r| r.error);
     (response.status, state.or(why).unwrap_or_default())
 }
 
 /// An array of one task of team `t` with these dependencies.
-pub fn job(id: &str, needs: &[&str]) -> Submission {
+pub fn job(id: &str, dependencies: &[&str]) -> Submission {
     Submission {
         id: id.into(),
         class: "c".into(),
@@ -138,23 +138,23 @@
         checkpoint_interval_s: 0.0,
         checkpoint_save_s: 0.0,
         deadline_s: None,
-        dependencies: needs.iter().map(|n| (*n).to_string()).collect(),
+        dependencies: dependencies.iter().map(|d| (*d).to_string()).collect(),
     }
 }
 
 /// Runs a test's future on its own single-threaded runtime, as a controller's process does.
-pub fn run<T>(of: impl Future<Output = T>) -> T {
+pub fn run<T>(test: impl Future<Output = T>) -> T {
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    rt.block_on(of)
+    rt.block_on(test)
 }
 
 /// Checks a condition every 20 ms until it holds, for about `timeout_s`. Returns false if it
 /// never held.
-pub async fn eventually(most_s: f64, mut holds: impl FnMut() -> bool) -> bool {
-    for _ in 0..(most_s * 50.0) as u32 {
+pub async fn eventually(timeout_s: f64, mut holds: impl FnMut() -> bool) -> bool {
+    for _ in 0..(timeout_s * 50.0) as u32 {
         if holds() {
             return true;
         }
--- a/crates/node/tests/common/store_faults.rs
+++ b/crates/node/tests/common/store_faults.rs
@@ -30,7 +30,7 @@
 pub struct StoreFaults {
     refused: Mutex<Vec<RequestPattern>>,
     hanging: Mutex<Vec<RequestPattern>>,
-    reply_lost: Mutex<Vec<RequestPattern>>,
+    response_lost: Mutex<Vec<RequestPattern>>,
     /// Number of requests that arrived, whether executed or not.
     pub requests: AtomicUsize,
     /// Paths of all requests.
@@ -74,12 +74,12 @@
     }
 
     /// Executes transactions whose body contains this text, and loses their responses.
-    pub fn lose_answers_to(&self, text: Option<&str>) {
+    pub fn lose_responses_to(&self, text: Option<&str>) {
         let pattern = text.map(|text| RequestPattern {
             path_prefix: "/txn".to_string(),
             body_contains: text.to_string(),
         });
-        *self.reply_lost.lock().unwrap() = pattern.into_iter().collect();
+        *self.response_lost.lock().unwrap() = pattern.into_iter().collect();
     }
 
     /// Injects faults into randomly drawn requests from now on.
@@ -93,9 +93,9 @@
     }
 
     /// Number of requests so far whose path begins with `path_prefix`.
-    pub fn count_of(&self, path: &str) -> usize {
+    pub fn count_of(&self, path_prefix: &str) -> usize {
         let paths = self.paths.lock().unwrap();
-        paths.iter().filter(|p| p.starts_with(path)).count()
+        paths.iter().filter(|p| p.starts_with(path_prefix)).count()
     }
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// Responds later than any controller waits for the key-value store.
-async fn lost_reply() -> Response {
+async fn lost_response() -> Response {
     tokio::time::sleep(Duration::from_secs(3)).await;
     Response::busy()
 }
@@ -117,7 +117,7 @@
 }
 
 impl FaultyStore {
-    async fn answer(&self, request: &Request) -> Response {
+    async fn respond(&self, request: &Request) -> Response {
         let faults = &self.faults;
         faults.requests.fetch_add(1, Ordering::Relaxed);
         faults.paths.lock().unwrap().push(request.path.clone());
@@ -138,9 +138,9 @@
             ServiceReply::Respond(response) => response,
             ServiceReply::HoldWatch(watch) => return self.hold(request, &watch).await,
         };
-        let is_lost = StoreFaults::any_matches(&faults.reply_lost, request);
+        let is_lost = StoreFaults::any_matches(&faults.response_lost, request);
         match is_lost || self.draw(shares.lost) {
-            true => lost_reply().await,
+            true => lost_response().await,
             false => response,
         }
     }
@@ -159,8 +159,8 @@
     }
 
     /// Draws whether a request meets a fault of this percentage.
-    fn draw(&self, share: u64) -> bool {
-        self.host.random() % 100 < share
+    fn draw(&self, percentage: u64) -> bool {
+        self.host.random() % 100 < percentage
     }
 }
 
@@ -176,10 +176,10 @@
         service: service.clone(),
         faults: faults.clone(),
     });
-    let answer = move |request: Request, _| {
+    let on_request = move |request: Request, _| {
         let store = store.clone();
-        async move { store.answer(&request).await }
+        async move { store.respond(&request).await }
     };
-    let serve = server::serve(host.clone(), listener, 1000, Arc::new(answer));
+    let serve = server::serve(host.clone(), listener, 1000, Arc::new(on_request));
     tokio::spawn(serve);
 }
--- a/crates/node/tests/compound_failures.rs
+++ b/crates/node/tests/compound_failures.rs
@@ -15,7 +15,7 @@
         background::start(&cluster.node);
         assert!(
             eventually(5.0, || cluster.may_act()).await,
-            "elected, and has a view"
+            "elected, with a view of cancellations"
         );
         cluster
     }
@@ -45,9 +45,9 @@
 /// A job whose submission is too large for one value, so that it is stored in chunks beside its
 /// record.
 fn chunked_job(id: &str) -> Submission {
-    let kinds = (0..3000).map(|n| format!("kind-{n:08}"));
+    let unknown_types = (0..3000).map(|n| format!("kind-{n:08}"));
     Submission {
-        machine_types: Some(kinds.chain(["m8".into()]).collect()),
+        machine_types: Some(unknown_types.chain(["m8".into()]).collect()),
         ..job(id, &[])
     }
 }
@@ -55,7 +55,7 @@
 /// While the chunks of a submission could not be read, all later changes, cancellations included,
 /// did not reach the leader, although its lease was renewed.
 #[test]
-fn unreadable_submission_keeps_no_cancellation_from_the_leader() {
+fn unreadable_submission_does_not_delay_cancellations() {
     run(async {
         let cluster = TestCluster::leading().await;
         assert_eq!(cluster.submit(&job("wk-000001", &[])).await.0, 201);
@@ -74,10 +74,10 @@
         cluster.store_faults.refuse(&[]);
         assert!(
             eventually(3.0, || cluster.leader_knows("wk-000002")).await,
-            "read at last"
+            "read once the store serves it"
         );
         tokio::time::sleep(Duration::from_millis(500)).await;
-        assert!(!cluster.leader_knows("wk-000003"), "it was over by then");
+        assert!(!cluster.leader_knows("wk-000003"), "cancelled before");
     });
 }
 
@@ -98,9 +98,9 @@
         let after = cluster.node.now() - since;
         assert!(
             after > cluster.node.timing.view_max_age_s - 1.5,
-            "not before its time: {after}"
+            "too early: {after}"
         );
-        assert!(cluster.may_write(), "its lease is renewed as ever");
+        assert!(cluster.may_write(), "the lease is still renewed");
         let hello = PeerRequest::Hello {
             from: "n1".into(),
             store_reachable: true,
@@ -117,7 +117,10 @@
         }
         let lease = cluster.node.lock_state().term.leadership.lease_id();
         let stepped_down = || cluster.node.lock_state().term.leadership.lease_id() != lease;
-        assert!(eventually(8.0, stepped_down).await, "another may see more");
+        assert!(
+            eventually(8.0, stepped_down).await,
+            "gives up leadership without a view"
+        );
         cluster.store_faults.hang(&[]);
         assert!(eventually(8.0, || cluster.may_act()).await);
     });
@@ -134,7 +137,7 @@
         background::start(&cluster.node);
         assert!(
             eventually(5.0, || cluster.may_act()).await,
-            "elected, and has a view"
+            "elected, with a view of cancellations"
         );
         assert!(cluster.leader_knows("wk-000001") && cluster.leader_knows("wk-000002"));
         assert_eq!(cluster.cancel("wk-000001").await, 200);
@@ -142,7 +145,7 @@
         let watched = || !cluster.leader_knows("wk-000001") && cluster.leader_knows("wk-000003");
         assert!(
             eventually(2.0, watched).await,
-            "the watch tells what came after"
+            "the watch reports later changes"
         );
         assert_eq!(cluster.store_faults.count_of("/keys?starts=j/"), 1);
     });
--- a/crates/node/tests/dependencies.rs
+++ b/crates/node/tests/dependencies.rs
@@ -10,7 +10,7 @@
 use common::*;
 
 #[test]
-fn job_may_need_only_accepted_jobs_that_can_end() {
+fn job_may_depend_only_on_accepted_jobs_that_can_end() {
     run(async {
         let cluster = TestCluster::single().await;
         let queued = (201, "Queued".to_string());
@@ -22,36 +22,34 @@
         assert_eq!(cluster.submit(&other).await, queued);
         // Dependency that was never accepted, the job itself, and a dependency that was never
         // accepted beside an accepted one.
-        for (id, needs) in [
+        for (id, dependencies) in [
             ("wk-000003", &["wk-000009"][..]),
             ("wk-000003", &["wk-000003"]),
             ("wk-000003", &["wk-000001", "wk-000009"]),
         ] {
-            let (status, why) = cluster.submit(&job(id, needs)).await;
-            let named = needs[needs.len() - 1];
+            let (status, why) = cluster.submit(&job(id, dependencies)).await;
+            let named = dependencies[dependencies.len() - 1];
             assert!(status == 422 && why.contains(named), "{status} {why}");
             assert!(why.contains("allowed"), "{why}");
         }
-        let standing = Submission {
+        let service = Submission {
             kind: JobKind::Service,
             ..job("wk-000004", &[])
         };
-        assert_eq!(cluster.submit(&standing).await, queued);
+        assert_eq!(cluster.submit(&service).await, queued);
         let (status, why) = cluster.submit(&job("wk-000005", &["wk-000004"])).await;
         assert!(status == 422 && why.contains("standing"), "{why}");
-        let ended = JobState::Done;
-        let (tasks, at_ms) = (1, None);
         // A dependency that ended long ago, written by an earlier version.
         let done = FinalStateRecord {
-            state: ended,
-            tasks,
-            ended_at_ms: at_ms,
+            state: JobState::Done,
+            tasks: 1,
+            ended_at_ms: None,
         };
         cluster
             .put_record(&keys::ended("wk-000006"), StoredRecord::FinalState(done))
             .await;
-        let long_after = job("wk-000007", &["wk-000006"]);
-        assert_eq!(cluster.submit(&long_after).await, queued);
+        let accepted = job("wk-000007", &["wk-000006"]);
+        assert_eq!(cluster.submit(&accepted).await, queued);
         // While the key-value store refuses requests, no submission is refused for good. A
         // repeated submission of an accepted job is recognised before any other check.
         cluster.store_faults.refuse(&["/"]);
@@ -60,12 +58,12 @@
             503
         );
         cluster.store_faults.refuse(&[]);
-        assert_eq!(cluster.submit(&long_after).await, (200, "Queued".into()));
+        assert_eq!(cluster.submit(&accepted).await, (200, "Queued".into()));
     });
 }
 
 #[test]
-fn malformed_list_of_needed_jobs_is_400() {
+fn malformed_list_of_dependencies_is_400() {
     run(async {
         let cluster = TestCluster::single().await;
         let (status, why) = cluster.submit(&job("wk-000001", &["wk-1"])).await;
@@ -88,16 +86,16 @@
 /// The response to a submission whose dependency was cancelled said queued, long after the user
 /// had been told of the cancellation.
 #[test]
-fn job_that_needs_a_cancelled_one_is_accepted_as_cancelled() {
+fn job_that_depends_on_a_cancelled_one_is_accepted_as_cancelled() {
     run(async {
         let cluster = TestCluster::single().await;
         cluster.submit(&job("wk-000001", &[])).await;
         cluster.submit(&job("wk-000002", &[])).await;
         assert_eq!(cluster.cancel("wk-000001").await, 200);
-        let named = job("wk-000003", &["wk-000002", "wk-000001"]);
+        let dependent = job("wk-000003", &["wk-000002", "wk-000001"]);
         let cancelled = "Cancelled".to_string();
-        assert_eq!(cluster.submit(&named).await, (201, cancelled.clone()));
-        assert_eq!(cluster.submit(&named).await, (200, cancelled.clone()));
+        assert_eq!(cluster.submit(&dependent).await, (201, cancelled.clone()));
+        assert_eq!(cluster.submit(&dependent).await, (200, cancelled.clone()));
         // Without its cache the controller knows only committed final states, like any other.
         let next = Submission {
             id: "wk-000004".into(),
--- a/crates/node/tests/direct_commands.rs
+++ b/crates/node/tests/direct_commands.rs
@@ -19,32 +19,32 @@
 #[derive(Default)]
 struct Worker {
     addr: String,
-    session: u64,
-    seq: u64,
-    token: u64,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     tasks: Vec<TaskStatus>,
     status_requests: u32,
 }
 
 impl Worker {
     fn heartbeat(&mut self) -> Heartbeat {
-        self.seq += 1;
+        self.sequence += 1;
         Heartbeat {
             machine: "vm-000001".into(),
             address: self.addr.clone(),
             machine_type: "m8".into(),
             zone: "a".into(),
             spot: true,
-            incarnation: self.session,
-            sequence: self.seq,
-            fencing_token: self.token,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             spot_notice_s: None,
             tasks: self.tasks.clone(),
         }
     }
 
-    fn carry_out(&mut self, token: u64, commands: &[Command]) {
-        self.token = token;
+    fn execute(&mut self, fencing_token: u64, commands: &[Command]) {
+        self.fencing_token = fencing_token;
         for c in commands {
             match c {
                 Command::Start { task, attempt } => self.tasks.push(TaskStatus {
@@ -65,15 +65,16 @@
         }
     }
 
-    fn answer(&mut self, request: &Request) -> Response {
+    fn respond(&mut self, request: &Request) -> Response {
         if request.path == "/status" {
             self.status_requests += 1;
             return Response::new(200, encode(&self.heartbeat()));
         }
-        let orders: DirectCommands = decode(&request.body).unwrap();
-        let is_current = orders.incarnation == self.session && orders.fencing_token >= self.token;
+        let direct: DirectCommands = decode(&request.body).unwrap();
+        let is_current =
+            direct.incarnation == self.incarnation && direct.fencing_token >= self.fencing_token;
         if is_current {
-            self.carry_out(orders.fencing_token, &orders.commands);
+            self.execute(direct.fencing_token, &direct.commands);
         }
         Response::new(
             if is_current { 200 } else { 409 },
@@ -87,20 +88,20 @@
     }
 }
 
-async fn start_worker(session: u64) -> Arc<Mutex<Worker>> {
+async fn start_worker(incarnation: u64) -> Arc<Mutex<Worker>> {
     let host = Runtime::native();
     let listener = host.bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let worker = Arc::new(Mutex::new(Worker {
         addr: listener.local_addr().unwrap().to_string(),
-        session,
+        incarnation,
         ..Worker::default()
     }));
     let own = worker.clone();
-    let answer = move |r: Request, _: SocketAddr| {
+    let on_request = move |r: Request, _: SocketAddr| {
         let own = own.clone();
-        async move { own.lock().unwrap().answer(&r) }
+        async move { own.lock().unwrap().respond(&r) }
     };
-    tokio::spawn(server::serve(host, listener, 50, Arc::new(answer)));
+    tokio::spawn(server::serve(host, listener, 50, Arc::new(on_request)));
     worker
 }
 
@@ -108,16 +109,16 @@
 /// response's status.
 async fn send_heartbeat(cluster: &TestCluster, worker: &Arc<Mutex<Worker>>) -> u16 {
     let heartbeat = worker.lock().unwrap().heartbeat();
-    let answer = cluster.post("/agent/beat", encode(&heartbeat)).await;
-    if let Ok(a) = decode::<HeartbeatResponse>(&answer.body)
-        && answer.status == 200
+    let response = cluster.post("/agent/beat", encode(&heartbeat)).await;
+    if let Ok(decoded) = decode::<HeartbeatResponse>(&response.body)
+        && response.status == 200
     {
         worker
             .lock()
             .unwrap()
-            .carry_out(a.fencing_token, &a.commands);
+            .execute(decoded.fencing_token, &decoded.commands);
     }
-    answer.status
+    response.status
 }
 
 /// Whether heartbeats of the worker reach a controller.
@@ -154,7 +155,7 @@
         let cluster = TestCluster::single().await;
         background::start(&cluster.node);
         let worker = start_worker(1).await;
-        let has_token = || worker.lock().unwrap().token > 0;
+        let has_token = || worker.lock().unwrap().fencing_token > 0;
         assert!(eventually(&cluster, &worker, Heartbeats::Sent, has_token).await);
         assert_eq!(cluster.submit(&job("wk-000001", &[])).await.0, 201);
         let is_running = || worker.lock().unwrap().running() == 1;
@@ -164,7 +165,7 @@
         let stopped = || worker.lock().unwrap().running() == 0;
         assert!(
             eventually(&cluster, &worker, Heartbeats::Lost, stopped).await,
-            "no heartbeat carried the stop"
+            "stopped without a heartbeat"
         );
         let free = || {
             let term = &cluster.node.lock_state().term;
@@ -173,7 +174,7 @@
         };
         assert!(
             eventually(&cluster, &worker, Heartbeats::Lost, free).await,
-            "its answer says so"
+            "freed by the worker's response to the stop"
         );
     });
 }
@@ -181,22 +182,22 @@
 /// The incarnation and sequence of a restarted worker begin anew, and look older than those
 /// before its restart.
 #[test]
-fn restarted_worker_is_asked_and_gets_work_again() {
+fn restarted_worker_gets_a_status_query_and_then_work() {
     run(async {
         let cluster = TestCluster::single().await;
         background::start(&cluster.node);
         let worker = start_worker(5).await;
-        let has_token = || worker.lock().unwrap().token > 0;
+        let has_token = || worker.lock().unwrap().fencing_token > 0;
         assert!(eventually(&cluster, &worker, Heartbeats::Sent, has_token).await);
         {
             let mut worker = worker.lock().unwrap();
-            (worker.session, worker.seq, worker.token) = (1, 0, 0);
+            (worker.incarnation, worker.sequence, worker.fencing_token) = (1, 0, 0);
         }
         assert_eq!(cluster.submit(&job("wk-000001", &[])).await.0, 201);
         let is_running = || worker.lock().unwrap().running() == 1;
         assert!(
             eventually(&cluster, &worker, Heartbeats::Sent, is_running).await,
-            "it gets work"
+            "the worker gets work"
         );
         assert_eq!(worker.lock().unwrap().status_requests, 1);
     });
--- a/crates/node/tests/recovery.rs
+++ b/crates/node/tests/recovery.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_controller_does_not_lead_over_a_ledger_entry_that_it_cannot_read() {
+fn controller_does_not_lead_while_it_cannot_read_a_ledger_entry() {
     run(async {
         let cluster = TestCluster::single().await;
         let damaged = keys::ledger((1 << 32) + 1);
@@ -33,12 +33,12 @@
         background::start(&cluster.node);
         let recoveries = || cluster.store_faults.count_of("/keys?starts=w/");
         let mut has_led = false;
-        let watched = eventually(ELECTED_WITHIN_S, || {
+        let recovered_often = eventually(ELECTED_WITHIN_S, || {
             has_led |= leads(&cluster);
             recoveries() >= RECOVERIES
         });
-        assert!(watched.await || has_led, "it is elected again and again");
-        assert!(!has_led, "tasks of the entry may run");
+        assert!(recovered_often.await || has_led, "it is elected repeatedly");
+        assert!(!has_led, "tasks of the unreadable entry may run");
         cluster.delete_record(&damaged).await;
         assert!(eventually(ELECTED_WITHIN_S, || leads(&cluster)).await);
     });
@@ -96,15 +96,15 @@
 }
 
 /// A worker on which the task runs, and which sends heartbeats to the cluster.
-struct Reporting<'a> {
+struct ReportingWorker<'a> {
     cluster: &'a TestCluster,
     sequence: u64,
     fencing_token: u64,
 }
 
-impl<'a> Reporting<'a> {
-    fn to(cluster: &'a TestCluster) -> Self {
-        Reporting {
+impl<'a> ReportingWorker<'a> {
+    fn new(cluster: &'a TestCluster) -> Self {
+        ReportingWorker {
             cluster,
             sequence: 0,
             fencing_token: 0,
@@ -118,9 +118,9 @@
         let body = encode(&heartbeat(self.sequence, self.fencing_token));
         let response = self.cluster.post("/agent/beat", body).await;
         assert_eq!(response.status, 200, "heartbeat {}", self.sequence);
-        let answer: HeartbeatResponse = decode(&response.body).unwrap();
-        self.fencing_token = answer.fencing_token;
-        answer.commands
+        let response: HeartbeatResponse = decode(&response.body).unwrap();
+        self.fencing_token = response.fencing_token;
+        response.commands
     }
 }
 
@@ -147,8 +147,8 @@
     run(async {
         let cluster = cluster_with_unreadable_job().await;
         let status = cluster.query(JOB).await.0;
-        assert_eq!(status, 200, "its user is told that it lives");
-        let mut worker = Reporting::to(&cluster);
+        assert_eq!(status, 200, "the user is told that the job is live");
+        let mut worker = ReportingWorker::new(&cluster);
         for _ in 0..HEARTBEATS {
             let commands = worker.next_commands().await;
             assert!(!commands.iter().any(is_stop), "{commands:?}");
@@ -162,7 +162,7 @@
 fn tasks_of_a_cancelled_job_whose_record_cannot_be_read_are_stopped() {
     run(async {
         let cluster = cluster_with_unreadable_job().await;
-        let mut worker = Reporting::to(&cluster);
+        let mut worker = ReportingWorker::new(&cluster);
         worker.next_commands().await;
         assert_eq!(cluster.cancel(JOB).await, 200);
         let mut stopped = false;
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -43,8 +43,8 @@
     };
     assert_eq!(kept(""), (200.0, 80.0, 32 * 1024, 48));
     assert_eq!(kept("next = {}"), (200.0, 80.0, 32 * 1024, 48));
-    let some = kept("next = { value_kb = 2.0, write_rps = 56.0, later = 1 }");
-    assert_eq!(some, (200.0, 56.0, 2048, 48));
+    let partial = kept("next = { value_kb = 2.0, write_rps = 56.0, later = 1 }");
+    assert_eq!(partial, (200.0, 56.0, 2048, 48));
     let larger = kept("next = { rps = 900.0, txn_ops = 16 }");
     assert_eq!(larger, (200.0, 80.0, 32 * 1024, 16));
 }
--- a/crates/node/tests/stalled_process.rs
+++ b/crates/node/tests/stalled_process.rs
@@ -10,30 +10,30 @@
 use cherrywood_wire::agent::Heartbeat;
 use cherrywood_wire::encode;
 use cherrywood_wire::peer::{PeerReply, PeerRequest};
-use common::{ask, example, run, types};
+use common::{example, request, run, types};
 use std::sync::Arc;
 
 /// A shard owner that was cut off from a leader that others reached kept its workers until its
 /// shard leases expired; meanwhile the leader deleted their machines.
 #[test]
 fn unreachable_leader_that_the_store_still_names_means_partition() {
-    let is_partitioned = |named_s_ago: f64, answered_s_ago: f64| {
+    let is_partitioned = |named_s_ago: f64, responded_s_ago: f64| {
         let now = 100.0;
         let contact = LeaderContact {
             known_leader: Some("n1".into()),
             named_by_store_at: now - named_s_ago,
-            last_answered_at: now - answered_s_ago,
+            last_response_at: now - responded_s_ago,
         };
         contact.is_partitioned_from_leader(now)
     };
     assert!(
         is_partitioned(0.5, 4.0),
-        "it leads, and doesn't answer here"
+        "it leads, and does not respond to this controller"
     );
     assert!(!is_partitioned(0.5, 1.0), "one lost frame is no partition");
     assert!(
         !is_partitioned(9.0, 9.0),
-        "a zone that is cut off keeps its workers while it may"
+        "a controller in a zone that is cut off keeps its workers while its shard leases last"
     );
 }
 
@@ -43,7 +43,7 @@
     Leader::new(2, 7, cluster, types(), RecoveredState::default(), 0.0).unwrap()
 }
 
-fn heartbeat(machine: &str, seq: u64) -> Heartbeat {
+fn heartbeat(machine: &str, sequence: u64) -> Heartbeat {
     Heartbeat {
         machine: machine.into(),
         address: String::new(),
@@ -51,7 +51,7 @@
         zone: "a".into(),
         spot: false,
         incarnation: 1,
-        sequence: seq,
+        sequence,
         fencing_token: 0,
         spot_notice_s: None,
         tasks: Vec::new(),
@@ -62,7 +62,7 @@
 /// sockets. The right to act is checked at the time of each response: within the lease the leader
 /// responds as before, after the lease it responds to no queued request.
 #[test]
-fn leader_stalled_past_its_lease_answers_no_queued_requests() {
+fn leader_stalled_past_its_lease_responds_to_no_queued_requests() {
     let node = Arc::new(example());
     let leader = empty_leader(&node);
     {
@@ -73,11 +73,11 @@
         state.term.leadership.acquired(5, now, &node.timing);
         state.term.leadership.view_completed(5, now);
     }
-    let frame = |seq| PeerRequest::Heartbeats {
+    let frame = |sequence| PeerRequest::Heartbeats {
         from: "n1".into(),
-        heartbeats: vec![(heartbeat("vm-1", seq), Vec::new())],
+        heartbeats: vec![(heartbeat("vm-1", sequence), Vec::new())],
     };
-    let answers = |reply| match reply {
+    let is_accepted = |reply| match reply {
         PeerReply::Heartbeats { answers } => answers[0].is_some(),
         other => panic!("{other:?}"),
     };
@@ -87,7 +87,7 @@
         table_version: Default::default(),
         refused: Vec::new(),
     };
-    let leads = |reply| match reply {
+    let leads_and_shard_size = |reply| match reply {
         PeerReply::Hello {
             leading_term,
             shard,
@@ -96,8 +96,9 @@
         other => panic!("{other:?}"),
     };
     // A stall shorter than the lease.
-    assert!(answers(run(node.handle_peer_request(frame(1)))));
-    assert_eq!(leads(run(node.handle_peer_request(hello()))), (true, 1));
+    assert!(is_accepted(run(node.handle_peer_request(frame(1)))));
+    let reply = run(node.handle_peer_request(hello()));
+    assert_eq!(leads_and_shard_size(reply), (true, 1));
     assert!(run(node.heartbeat(heartbeat("vm-2", 1))).is_some());
     // A longer stall: the lease expired while these requests were queued in the sockets.
     let since = node.now() - node.timing.leader_lease_s;
@@ -105,39 +106,44 @@
         .term
         .leadership
         .acquired(5, since, &node.timing);
-    assert!(!answers(run(node.handle_peer_request(frame(2)))));
-    assert_eq!(leads(run(node.handle_peer_request(hello()))), (false, 0));
+    assert!(!is_accepted(run(node.handle_peer_request(frame(2)))));
+    let reply = run(node.handle_peer_request(hello()));
+    assert_eq!(leads_and_shard_size(reply), (false, 0));
     let counts = PeerRequest::TaskCounts { jobs: vec![] };
     assert_eq!(run(node.handle_peer_request(counts)), PeerReply::Declined);
     assert!(run(node.heartbeat(heartbeat("vm-3", 1))).is_none());
     let new = encode(&heartbeat("vm-4", 1));
-    let response = ask(&node, "POST", "/agent/beat", new);
+    let response = request(&node, "POST", "/agent/beat", new);
     assert_eq!((response.status, response.retry_after_s), (503, Some(1)));
 }
 
 /// The shard leases of a shard owner expired while it was stalled.
 #[test]
-fn shard_owner_stalled_past_its_grants_answers_no_heartbeat() {
+fn shard_owner_stalled_past_its_leases_responds_to_no_heartbeat() {
     let node = example();
-    let grant = |ago: f64| {
+    let grant_lease = |ago_s: f64| {
         let (now, shard_lease_s) = (node.now(), node.timing.shard_lease_s);
         let mut state = node.lock_state();
         state.shard = cherrywood_control::ShardOwner::default();
         state
             .shard
-            .lease_granted("vm-1", 9, now - ago, shard_lease_s);
+            .lease_granted("vm-1", 9, now - ago_s, shard_lease_s);
     };
-    let beat = || ask(&node, "POST", "/agent/beat", encode(&heartbeat("vm-1", 1)));
-    grant(node.timing.shard_lease_s - 5.0);
-    assert_eq!(beat().status, 200, "the leader can't be asked, but it may");
-    grant(node.timing.shard_lease_s);
-    assert_eq!(beat().status, 503);
+    let send_heartbeat = || request(&node, "POST", "/agent/beat", encode(&heartbeat("vm-1", 1)));
+    grant_lease(node.timing.shard_lease_s - 5.0);
+    assert_eq!(
+        send_heartbeat().status,
+        200,
+        "the shard lease is valid, though the leader is unreachable"
+    );
+    grant_lease(node.timing.shard_lease_s);
+    assert_eq!(send_heartbeat().status, 503);
 }
 
 /// A response of an earlier term once reached a new leader on the same controller, whose job
 /// indices differ.
 #[test]
-fn answer_of_an_earlier_term_finds_no_leader() {
+fn response_of_an_earlier_term_finds_no_leader() {
     let node = example();
     let leader = empty_leader(&node);
     node.lock_state().term.leader = Some(leader);
--- a/crates/node/tests/startup.rs
+++ b/crates/node/tests/startup.rs
@@ -12,14 +12,14 @@
 #[test]
 fn start_waits_for_an_address_that_the_previous_process_still_holds() {
     run(async {
-        let earlier = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = earlier.local_addr().unwrap();
+        let predecessor = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = predecessor.local_addr().unwrap();
         let mut platform = Settings::platform(EXAMPLE).unwrap();
         platform.serve_on = address;
         platform.internal_addr = ([127, 0, 0, 1], 0).into();
         tokio::spawn(async move {
             tokio::time::sleep(std::time::Duration::from_millis(300)).await;
-            drop(earlier);
+            drop(predecessor);
         });
         let operator = Operator::default();
         let started = start(Runtime::native(), Settings { platform, operator }).await;
--- a/crates/node/tests/status_queries.rs
+++ b/crates/node/tests/status_queries.rs
@@ -24,14 +24,14 @@
 const USER_WAIT_S: f64 = 2.0;
 
 #[test]
-fn batch_holds_at_most_as_many_jobs_as_asked_for() {
+fn batch_contains_at_most_the_requested_number_of_jobs() {
     let queue = StatusQueryQueue::default();
-    let ask = |n: u32| {
-        let (answer, answered) = oneshot::channel();
-        queue.enqueue(&format!("wk-{n:06}"), answer);
-        answered
+    let query = |n: u32| {
+        let (sender, result) = oneshot::channel();
+        queue.enqueue(&format!("wk-{n:06}"), sender);
+        result
     };
-    let _waiting: Vec<_> = (0..10).map(ask).collect();
+    let _waiting: Vec<_> = (0..10).map(query).collect();
     let sizes: Vec<usize> = (0..4).map(|_| queue.take_batch(4).len()).collect();
     assert_eq!(sizes, [4, 4, 2, 0]);
 }
@@ -42,18 +42,18 @@
 fn overloaded_queue_serves_every_job_in_its_turn() {
     let queue = StatusQueryQueue::default();
     let mut waiting = Vec::new();
-    let mut ask = |n: u32| {
-        let (answer, answered) = oneshot::channel();
-        queue.enqueue(&format!("wk-{n:06}"), answer);
-        waiting.push(answered);
+    let mut query = |n: u32| {
+        let (sender, result) = oneshot::channel();
+        queue.enqueue(&format!("wk-{n:06}"), sender);
+        waiting.push(result);
     };
-    (0..2000).for_each(&mut ask);
-    ask(999_999);
+    (0..2000).for_each(&mut query);
+    query(999_999);
     // Each round serves 32 jobs, and 32 queries of a team that sends eight times as many arrive
     // at once.
     let round = (0..100).find(|round| {
         let batch = queue.take_batch(32);
-        (0..32).for_each(|n| ask((round * 32 + n) % 2000));
+        (0..32).for_each(|n| query((round * 32 + n) % 2000));
         batch.contains_key("wk-999999")
     });
     assert_eq!(round, Some(2000 / 32));
@@ -64,21 +64,21 @@
 fn abandoned_queries_take_no_place_in_a_batch() {
     let queue = StatusQueryQueue::default();
     for n in 0..100 {
-        let (answer, answered) = oneshot::channel();
-        queue.enqueue(&format!("wk-{n:06}"), answer);
-        drop(answered);
+        let (sender, result) = oneshot::channel();
+        queue.enqueue(&format!("wk-{n:06}"), sender);
+        drop(result);
     }
-    let (answer, _answered) = oneshot::channel();
-    queue.enqueue("wk-000500", answer);
+    let (sender, _result) = oneshot::channel();
+    queue.enqueue("wk-000500", sender);
     assert!(queue.take_batch(8).contains_key("wk-000500"));
 }
 
 #[derive(Deserialize)]
-struct Compared {
-    guards: Vec<Compare>,
+struct Comparison {
+    guards: Vec<ComparedKey>,
 }
 #[derive(Deserialize)]
-struct Compare {
+struct ComparedKey {
     k: String,
 }
 #[derive(Serialize)]
@@ -112,20 +112,20 @@
         let addr = listener.local_addr().unwrap();
         let count = Arc::new(AtomicUsize::new(0));
         let seen = count.clone();
-        let answer = move |request: Request, _| {
+        let on_request = move |request: Request, _| {
             let earlier = seen.fetch_add(1, Ordering::Relaxed);
             async move {
                 if self == FakeStore::SilentAtFirst && earlier == 0 {
                     std::future::pending::<()>().await;
                 }
-                self.answer(&request)
+                self.respond(&request)
             }
         };
-        tokio::spawn(server::serve(host, listener, 100, Arc::new(answer)));
+        tokio::spawn(server::serve(host, listener, 100, Arc::new(on_request)));
         (addr, count)
     }
 
-    fn answer(self, request: &Request) -> Response {
+    fn respond(self, request: &Request) -> Response {
         if self == FakeStore::Refusing {
             return Response::busy();
         }
@@ -136,12 +136,12 @@
     }
 
     fn compare(body: &[u8]) -> Response {
-        let compared: Compared = decode(body).unwrap();
+        let comparison: Comparison = decode(body).unwrap();
         let exists = |k: &String| match k.starts_with("f/") {
             true => (100..200).contains(&job_number(k)),
             false => job_number(k) < 100,
         };
-        let keys = compared.guards.into_iter().map(|g| g.k);
+        let keys = comparison.guards.into_iter().map(|g| g.k);
         let failed: Vec<String> = keys.filter(exists).collect();
         let status = if failed.is_empty() { 200 } else { 409 };
         let ledger_rev = 7;
@@ -167,7 +167,7 @@
 }
 
 /// Starts a controller that uses this key-value store and responds to status queries.
-fn node_at(store: SocketAddr) -> Arc<Node> {
+fn node_with_store(store: SocketAddr) -> Arc<Node> {
     let text = EXAMPLE.replace("state = \"127.0.0.1:9\"", &format!("state = \"{store}\""));
     let platform = Settings::platform(&text).unwrap();
     let operator = Operator::default();
@@ -180,13 +180,13 @@
 }
 
 /// Status of a response, the job's state, and whether there is a `Retry-After`.
-type Answer = (u16, Option<JobState>, bool);
+type QueryResponse = (u16, Option<JobState>, bool);
 
 /// Queries all these jobs at once. Returns the responses, and the number of requests to the store.
-fn query_all(store: FakeStore, jobs: &[u32]) -> (Vec<Answer>, usize) {
+fn query_all(store: FakeStore, jobs: &[u32]) -> (Vec<QueryResponse>, usize) {
     run(async {
         let (addr, count) = store.start().await;
-        let node = node_at(addr);
+        let node = node_with_store(addr);
         let queries: Vec<_> = jobs
             .iter()
             .map(|n| {
@@ -196,17 +196,17 @@
                     path: format!("/submissions/wk-{n:06}"),
                     body: Vec::new(),
                 };
-                tokio::spawn(async move { api::answer(&node, request).await })
+                tokio::spawn(async move { api::handle_request(&node, request).await })
             })
             .collect();
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for query in queries {
             let response = query.await.unwrap();
             let status = decode::<JobStatus>(&response.body).ok();
             let retry_after = response.retry_after_s.is_some();
-            answers.push((response.status, status.map(|s| s.state), retry_after));
+            responses.push((response.status, status.map(|s| s.state), retry_after));
         }
-        (answers, count.load(Ordering::Relaxed))
+        (responses, count.load(Ordering::Relaxed))
     })
 }
 
@@ -216,14 +216,14 @@
 fn concurrent_queries_share_one_store_request() {
     let mut jobs: Vec<u32> = (0..60).chain(0..60).collect();
     jobs.extend([150, 150, 999_999]);
-    let (answers, requests) = query_all(FakeStore::Serving, &jobs);
-    for (n, answer) in jobs.iter().zip(answers) {
-        let want = match n {
+    let (responses, requests) = query_all(FakeStore::Serving, &jobs);
+    for (n, response) in jobs.iter().zip(responses) {
+        let expected = match n {
             0..100 => (200, Some(JobState::Queued), false),
             100..200 => (200, Some(JobState::Done), false),
             _ => (404, None, false),
         };
-        assert_eq!(answer, want, "job {n}");
+        assert_eq!(response, expected, "job {n}");
     }
     // One comparison, and one read for the job that is over.
     assert_eq!(requests, 2);
@@ -234,9 +234,9 @@
 #[test]
 fn queries_for_unknown_jobs_share_store_requests() {
     let jobs: Vec<u32> = (900_000..900_150).collect();
-    let (answers, requests) = query_all(FakeStore::Serving, &jobs);
-    assert!(answers.iter().all(|a| *a == (404, None, false)));
-    assert_eq!(requests, 2, "96 in a comparison");
+    let (responses, requests) = query_all(FakeStore::Serving, &jobs);
+    assert!(responses.iter().all(|r| *r == (404, None, false)));
+    assert_eq!(requests, 2, "96 jobs in a comparison");
 }
 
 /// Under overload, the submission of a known job gets 200 regardless of room, and that of an
@@ -244,57 +244,57 @@
 /// infeasible, and is not refused because the key-value store fails.
 #[test]
 fn submission_without_room_is_429_unless_the_job_is_known() {
-    let answers = |store: FakeStore| {
+    let responses = |store: FakeStore| {
         run(async {
             let (addr, _) = store.start().await;
-            let node = node_at(addr);
+            let node = node_with_store(addr);
             node.lock_state().machine_types = types();
-            let shut = Gate {
+            let closed = Gate {
                 class: tenant_class_id("t", "c"),
                 max_work_cpu_s: 1.0,
                 share: 0.0,
             };
             node.admission_filter.adopt_if_newer(&AdmissionTable {
                 term: 1,
-                gates: vec![shut],
+                gates: vec![closed],
                 relief_s: 10.0,
                 ..AdmissionTable::default()
             });
-            let mut answers = Vec::new();
+            let mut responses = Vec::new();
             for n in [50, 150, 999_999] {
                 let request = Request {
                     method: "POST".into(),
                     path: "/submissions".into(),
                     body: encode(&job(&format!("wk-{n:06}"), &[])),
                 };
-                let response = api::answer(&node, request).await;
-                answers.push((response.status, response.retry_after_s));
+                let response = api::handle_request(&node, request).await;
+                responses.push((response.status, response.retry_after_s));
             }
-            answers
+            responses
         })
     };
-    let served = answers(FakeStore::Serving);
+    let served = responses(FakeStore::Serving);
     assert_eq!(served[..2], [(200, None), (200, None)]);
     assert_eq!(served[2].0, 429);
     assert!((5..=30).contains(&served[2].1.unwrap()), "{served:?}");
-    assert_eq!(answers(FakeStore::Refusing), [(503, Some(1)); 3]);
+    assert_eq!(responses(FakeStore::Refusing), [(503, Some(1)); 3]);
 }
 
 #[test]
-fn queries_that_cannot_be_answered_get_503_at_once() {
-    let (answers, requests) = query_all(FakeStore::Refusing, &[1, 2, 3]);
-    assert_eq!(answers, vec![(503, None, true); 3]);
+fn queries_that_cannot_be_served_get_503_at_once() {
+    let (responses, requests) = query_all(FakeStore::Refusing, &[1, 2, 3]);
+    assert_eq!(responses, vec![(503, None, true); 3]);
     assert_eq!(requests, 1);
 }
 
 /// When a response of the store was lost, every query of its batch got 503 after 0.9 s, and a job
 /// that had waited through an outage was forgotten (scenarios/long/forgotten-98.yaml).
 #[test]
-fn queries_are_answered_in_time_though_the_stores_first_response_is_lost() {
+fn queries_get_responses_in_time_though_the_stores_first_response_is_lost() {
     let began = std::time::Instant::now();
-    let (answers, requests) = query_all(FakeStore::SilentAtFirst, &[1, 2, 999_999]);
+    let (responses, requests) = query_all(FakeStore::SilentAtFirst, &[1, 2, 999_999]);
     let live = (200, Some(JobState::Queued), false);
-    assert_eq!(answers, [live, live, (404, None, false)]);
+    assert_eq!(responses, [live, live, (404, None, false)]);
     assert_eq!(requests, 2);
     assert!(began.elapsed().as_secs_f64() < USER_WAIT_S);
 }
