--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -29,21 +29,21 @@
                 path: platform.to_path_buf(),
                 error,
             })?;
-        let platform = Self::platform(&text)?;
+        let platform = Self::parse_platform(&text)?;
         let operator = match operator {
-            Some(path) => Self::operator(&path.display().to_string(), &file::read(path)?)?,
+            Some(path) => Self::parse_operator(&path.display().to_string(), &file::read(path)?)?,
             None => Operator::default(),
         };
         Ok(Settings { platform, operator })
     }
 
     /// Reads and checks the platform's file from its text.
-    pub fn platform(text: &str) -> Result<Platform, SettingsError> {
+    pub fn parse_platform(text: &str) -> Result<Platform, SettingsError> {
         Platform::parse(text)
     }
 
     /// Reads and checks the operators' file, called `name` in messages, from its text.
-    pub fn operator(name: &str, text: &str) -> Result<Operator, SettingsError> {
+    pub fn parse_operator(name: &str, text: &str) -> Result<Operator, SettingsError> {
         if text.trim().is_empty() {
             return Ok(Operator::default());
         }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -68,7 +68,7 @@
 
 /// Creates a controller with these platform settings and the operators' defaults.
 pub fn node_with(platform: &str) -> Node {
-    let platform = Settings::platform(platform).unwrap();
+    let platform = Settings::parse_platform(platform).unwrap();
     let operator = Operator::default();
     Node::new(Runtime::native(), Settings { platform, operator })
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn invalid_platform_file_gives_one_line_that_names_the_field() {
-    assert!(Settings::platform(EXAMPLE).is_ok());
+    assert!(Settings::parse_platform(EXAMPLE).is_ok());
     for (from, to, field) in [
         ("label = \"n0\"\n", "", "label"),
         ("lease_s = 10.0", "lease_s = -1.0", "lease_s"),
@@ -24,7 +24,7 @@
             "state.next.value_kb",
         ),
     ] {
-        let err = Settings::platform(&EXAMPLE.replacen(from, to, 1))
+        let err = Settings::parse_platform(&EXAMPLE.replacen(from, to, 1))
             .unwrap_err()
             .to_string();
         assert!(err.contains(field) && !err.contains('\n'), "{err}");
@@ -37,7 +37,11 @@
 fn next_limits_may_be_partial_or_absent() {
     let kept = |next: &str| {
         let text = EXAMPLE.replacen("txn_ops = 48", &format!("txn_ops = 48\n{next}"), 1);
-        let k = Settings::platform(&text).unwrap().deployment.cluster.state;
+        let k = Settings::parse_platform(&text)
+            .unwrap()
+            .deployment
+            .cluster
+            .state;
         let k = k.kept();
         (k.rps, k.write_rps, k.value_bytes, k.txn_changes)
     };
@@ -58,7 +62,7 @@
         ("cpus_max = 0.0", f64::INFINITY),
         ("", f64::INFINITY),
     ] {
-        let p = Settings::platform(&EXAMPLE.replacen("cpus_max = 16.0", given, 1)).unwrap();
+        let p = Settings::parse_platform(&EXAMPLE.replacen("cpus_max = 16.0", given, 1)).unwrap();
         let team = &p.deployment.cluster.teams[0];
         assert_eq!((team.cpus_max, team.gpus_max), (want, f64::INFINITY));
     }
@@ -66,7 +70,7 @@
 
 #[test]
 fn mistakes_in_the_operators_file_are_errors() {
-    let read = |text| Settings::operator("op.yaml", text);
+    let read = |text| Settings::parse_operator("op.yaml", text);
     assert!(read("cheap_only: true").unwrap().cheap_only);
     assert!(!read("").unwrap().cheap_only);
     for (text, parts) in [
--- a/crates/node/tests/startup.rs
+++ b/crates/node/tests/startup.rs
@@ -14,7 +14,7 @@
     run(async {
         let predecessor = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = predecessor.local_addr().unwrap();
-        let mut platform = Settings::platform(EXAMPLE).unwrap();
+        let mut platform = Settings::parse_platform(EXAMPLE).unwrap();
         platform.serve_on = address;
         platform.internal_addr = ([127, 0, 0, 1], 0).into();
         tokio::spawn(async move {
--- a/crates/node/tests/status_queries.rs
+++ b/crates/node/tests/status_queries.rs
@@ -169,7 +169,7 @@
 /// Starts a controller that uses this key-value store and responds to status queries.
 fn node_with_store(store: SocketAddr) -> Arc<Node> {
     let text = EXAMPLE.replace("state = \"127.0.0.1:9\"", &format!("state = \"{store}\""));
-    let platform = Settings::platform(&text).unwrap();
+    let platform = Settings::parse_platform(&text).unwrap();
     let operator = Operator::default();
     let node = Arc::new(Node::new(
         Runtime::native(),
--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -106,7 +106,7 @@
         anyhow::bail!("--scale: 0.01 to 1000 is allowed, found {}", args.scale);
     }
     let operator = match &args.operator {
-        Some(path) => Settings::operator(&path.display().to_string(), &read(path)?)?,
+        Some(path) => Settings::parse_operator(&path.display().to_string(), &read(path)?)?,
         None => cherrywood_node::settings::Operator::default(),
     };
     let options = Options {
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -103,7 +103,8 @@
 fn by_rank_alone_a_class_starves_in_the_flood() {
     let options = Options {
         seed: 2,
-        operator: Settings::operator("op.yaml", "admission: {off: true, floors: false}").unwrap(),
+        operator: Settings::parse_operator("op.yaml", "admission: {off: true, floors: false}")
+            .unwrap(),
         ..Options::default()
     };
     let log = Log::new(Level::INFO, None, false);
