--- a/crates/node/src/heartbeats.rs
+++ b/crates/node/src/heartbeats.rs
@@ -119,8 +119,7 @@
         })
     }
 
-    /// The leader's response to a heartbeat that is forwarded to it; `None` if it does not
-    /// respond.
+    /// The leader's response to a heartbeat that is forwarded to it; `None` if there is none.
     async fn forward_heartbeat(
         &self,
         known_leader: Option<String>,
