--- a/crates/node/src/api.rs
+++ b/crates/node/src/api.rs
@@ -1,4 +1,4 @@
-//! What users, workers and the load balancer ask over HTTP: paths, methods, handlers.
+//! The HTTP API for users, workers and the load balancer: paths, methods, handlers.
 
 use crate::cancellations::cancel;
 use crate::node::Node;
@@ -10,29 +10,29 @@
 use cherrywood_wire::decode;
 use cherrywood_wire::user::is_valid_job_id;
 
-/// Answers one request of a user, a worker or the load balancer.
-pub async fn answer(node: &Node, request: Request) -> Response {
+/// Handles one request of a user, a worker or the load balancer.
+pub async fn handle_request(node: &Node, request: Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
-    let post = request.method == "POST";
-    let get = request.method == "GET";
+    let is_post = request.method == "POST";
+    let is_get = request.method == "GET";
     let job = path.strip_prefix("/submissions/");
     let cancelled_job = job.and_then(|j| j.strip_suffix("/cancel"));
     match path {
-        "/healthz" if get => readiness(node).into(),
-        "/agent/beat" if post => heartbeat(node, &request.body).await.into(),
-        "/submissions" if post => submit(node, &request.body).await,
+        "/healthz" if is_get => readiness(node).into(),
+        "/agent/beat" if is_post => heartbeat(node, &request.body).await.into(),
+        "/submissions" if is_post => submit(node, &request.body).await,
         "/healthz" | "/agent/beat" | "/submissions" => Outcome::MethodNotAllowed.into(),
         _ => match (job, cancelled_job) {
-            (_, Some(id)) if post => cancel(node, id).await,
+            (_, Some(id)) if is_post => cancel(node, id).await,
             (_, Some(_)) => Outcome::MethodNotAllowed.into(),
-            (Some(id), None) if get && !id.contains('/') => status_query(node, id).await.into(),
+            (Some(id), None) if is_get && !id.contains('/') => status_query(node, id).await.into(),
             (Some(id), None) if !id.contains('/') => Outcome::MethodNotAllowed.into(),
             _ => Outcome::NotFound.into(),
         },
     }
 }
 
-/// Whom the connection serves on which this request came.
+/// The class of the connection on which this request arrived.
 pub fn connection_class(request: &Request) -> ConnectionClass {
     match request.path.split('?').next() {
         Some("/healthz" | "/agent/beat") => ConnectionClass::Worker,
@@ -51,11 +51,11 @@
     let Ok(heartbeat) = decode::<Heartbeat>(body) else {
         return Outcome::UnreadableHeartbeat;
     };
-    if let Some(answer) = node.heartbeat(heartbeat).await {
-        return Outcome::HeartbeatAnswered(answer);
+    if let Some(response) = node.heartbeat(heartbeat).await {
+        return Outcome::HeartbeatAccepted(response);
     }
-    // Another controller may own the machine's shard: name the leader, which can take every
-    // machine.
+    // Another controller may own the machine's shard: redirect the worker to the leader, which
+    // can accept every machine.
     let leader = node.lock_state().leader_contact.known_leader.clone();
     match leader.filter(|label| label != node.label()) {
         Some(label) => Outcome::ReportToLeader(label),
--- a/crates/node/src/background/status_queries.rs
+++ b/crates/node/src/background/status_queries.rs
@@ -1,8 +1,8 @@
-//! Answers status queries in batches.
+//! Responds to status queries in batches.
 
 use crate::job_queries::read_final_state;
 use crate::node::Node;
-use crate::status_queries::{QueryAnswer, QueryBatch};
+use crate::status_queries::{QueryBatch, QueryResult};
 use crate::task_counts::TaskCounts;
 use cherrywood_control::keys;
 use cherrywood_limits as limits;
@@ -14,63 +14,66 @@
 use tokio::sync::oneshot;
 use tracing::debug;
 
-/// A transaction compares four keys for each change that it may hold; a job has two.
-const JOBS_FOR_EACH_CHANGE: usize = 4 / 2;
+/// Jobs per change of a transaction: it may compare four keys for each change that it may
+/// contain, and a job has two keys.
+const JOBS_PER_CHANGE: usize = 4 / 2;
 
-/// Answers queries in an endless loop: the first after a pause at once, the others together.
+/// Responds to queries in an endless loop: the first query after a pause is served at once, later
+/// ones in batches.
 pub async fn run(node: Arc<Node>) {
     loop {
         node.status_queries.due.notified().await;
         loop {
-            let most = node.store.limits().txn_changes * JOBS_FOR_EACH_CHANGE;
-            let batch = node.status_queries.take_batch(most);
+            let max_jobs = node.store.limits().txn_changes * JOBS_PER_CHANGE;
+            let batch = node.status_queries.take_batch(max_jobs);
             if batch.is_empty() {
                 break;
             }
-            node.host.spawn(answer_batch(node.clone(), batch));
+            node.host.spawn(serve_batch(node.clone(), batch));
             node.host.sleep(limits::POLL_BATCH_INTERVAL_S).await;
         }
     }
 }
 
-/// Answers a batch of queries.
+/// Responds to a batch of queries.
 ///
-/// The live and the final key of each job are compared in one transaction, so its answer
-/// describes one moment: with neither key, the job is unknown. Under overload most queries are
-/// for submissions without room, and two reads for each of them once used up a follower's
-/// share of the state service's rate: nine of ten users got 503 instead of 429.
+/// The live and the final key of each job are compared in one transaction, so its response
+/// describes one moment: a job with neither key is unknown. Under overload most queries are for
+/// submissions that lack room. Two reads for each of them used up a follower's share of the
+/// key-value store's rate, and nine of ten users got 503 instead of 429.
 ///
-/// The leader is asked for its counts before the comparison, which alone decides whether a job
-/// is live, and nothing is waited for after it. When both were asked at the same time, a slow
-/// leader let jobs be called queued after their cancellation was confirmed.
-async fn answer_batch(node: Arc<Node>, batch: QueryBatch) {
+/// The leader is asked for its counts before the comparison. The comparison alone decides
+/// whether a job is live, and nothing is awaited after it. If both requests were sent at the
+/// same time, a slow leader would cause jobs to be reported as queued after their cancellation
+/// was confirmed.
+async fn serve_batch(node: Arc<Node>, batch: QueryBatch) {
     let deadline = node.now() + limits::POLL_BATCH_TIMEOUT_S;
     let ids: Vec<String> = batch.keys().cloned().collect();
     let counts = node.task_counts(&ids).await;
     let existing = match existing_keys(&node, &ids, deadline).await {
         Ok(keys) => keys,
         Err(error) => {
-            // Whoever waits gets `Unavailable` as the channels are dropped.
+            // Waiting requests get `Unavailable` when their channels are dropped.
             let queries: usize = batch.values().map(Vec::len).sum();
             node.status_queries.count_refused(queries);
             debug!(queries, %error, "status queries refused");
             return;
         }
     };
-    node.note_store_answer();
-    for ((id, askers), counts) in batch.into_iter().zip(counts) {
+    node.record_store_response();
+    for ((id, waiters), counts) in batch.into_iter().zip(counts) {
         if existing.contains(&keys::job(&id)) {
-            answer_all(askers, || live(counts));
+            respond_to_all(waiters, || live(counts));
         } else if existing.contains(&keys::ended(&id)) {
-            node.host.spawn(answer_ended(node.clone(), id, askers));
+            node.host.spawn(respond_ended(node.clone(), id, waiters));
         } else {
-            answer_all(askers, || QueryAnswer::UnknownJob);
+            respond_to_all(waiters, || QueryResult::UnknownJob);
         }
     }
 }
 
-/// Which of the jobs' live and final keys exist. A comparison changes nothing, so one whose
-/// response is late is sent again while the users still wait.
+/// Returns those of the jobs' live and final keys that exist. A comparison changes nothing, so it
+/// is sent again if its response is late, while the users still wait.
 async fn existing_keys(
     node: &Node,
     ids: &[String],
@@ -89,24 +92,24 @@
     Ok(keys.into_iter().collect())
 }
 
-fn live(counts: TaskCounts) -> QueryAnswer {
+fn live(counts: TaskCounts) -> QueryResult {
     match counts {
-        TaskCounts::Known { done, running } => QueryAnswer::Live { done, running },
-        TaskCounts::Withheld => QueryAnswer::Unavailable,
+        TaskCounts::Known { done, running } => QueryResult::Live { done, running },
+        TaskCounts::Withheld => QueryResult::Unavailable,
     }
 }
 
-async fn answer_ended(node: Arc<Node>, id: String, askers: Vec<oneshot::Sender<QueryAnswer>>) {
+async fn respond_ended(node: Arc<Node>, id: String, waiters: Vec<oneshot::Sender<QueryResult>>) {
     let found = read_final_state(&node, &id, RequestPriority::Poll).await;
-    answer_all(askers, || match &found {
-        Ok(Some(value)) => QueryAnswer::Ended(value.clone()),
-        _ => QueryAnswer::Unavailable,
+    respond_to_all(waiters, || match &found {
+        Ok(Some(value)) => QueryResult::Ended(value.clone()),
+        _ => QueryResult::Unavailable,
     });
 }
 
-fn answer_all(askers: Vec<oneshot::Sender<QueryAnswer>>, answer: impl Fn() -> QueryAnswer) {
-    for asker in askers {
-        // One that gave up takes no answer.
-        let _ = asker.send(answer());
+fn respond_to_all(waiters: Vec<oneshot::Sender<QueryResult>>, response: impl Fn() -> QueryResult) {
+    for waiter in waiters {
+        // Sending fails for a request that has timed out.
+        let _ = waiter.send(response());
     }
 }
--- a/crates/node/tests/common/fake_leader.rs
+++ b/crates/node/tests/common/fake_leader.rs
@@ -6,35 +6,35 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// A controller that answers requests for task counts when the test lets it. The others take
-/// it for the leader.
+/// A controller that responds to requests for task counts when the test permits it. The other
+/// controllers take it for the leader.
 pub struct FakeLeader {
-    /// Where it listens for controllers.
+    /// Address on which it listens for other controllers.
     pub addr: SocketAddr,
-    /// A question for counts has come.
-    pub asked: Arc<Notify>,
-    /// Lets one question have its answer: nothing done, one task running.
-    pub answer: Arc<Notify>,
+    /// Notified when a request for task counts has arrived.
+    pub requested: Arc<Notify>,
+    /// Permits the response to one request: no task done, one task running.
+    pub may_respond: Arc<Notify>,
 }
 
 impl FakeLeader {
-    /// Its label among the members.
+    /// Label of the fake leader in the members' settings.
     pub const LABEL: &str = "n9";
 
     pub async fn start() -> FakeLeader {
         let host = Runtime::native();
         let listener = host.bind(([127, 0, 0, 1], 0).into()).await.unwrap();
         let addr = listener.local_addr().unwrap();
-        let (asked, answer) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
-        let (on_asked, may_answer) = (asked.clone(), answer.clone());
+        let (requested, may_respond) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
+        let notifies = (requested.clone(), may_respond.clone());
         let on_request = move |request| {
-            let (on_asked, may_answer) = (on_asked.clone(), may_answer.clone());
+            let (requested, may_respond) = notifies.clone();
             async move {
                 let peer::PeerRequest::TaskCounts { jobs } = request else {
                     return peer::PeerReply::Declined;
                 };
-                on_asked.notify_one();
-                may_answer.notified().await;
+                requested.notify_one();
+                may_respond.notified().await;
                 let counts = vec![(0, 1); jobs.len()];
                 peer::PeerReply::TaskCounts { counts }
             }
@@ -43,8 +43,8 @@
         tokio::spawn(cherrywood_net::peer::serve(host, listener, on_request));
         FakeLeader {
             addr,
-            asked,
-            answer,
+            requested,
+            may_respond,
         }
     }
 }
--- a/crates/node/tests/compound_failures.rs
+++ b/crates/node/tests/compound_failures.rs
@@ -1,5 +1,5 @@
-//! A leader whose state service does part of what it is asked: what its right to act rests on,
-//! beside a lease that is renewed all the while.
+//! A leader whose key-value store serves only some requests: conditions of the leader's right to
+//! act besides its lease, which is renewed throughout.
 
 mod common;
 
@@ -15,7 +15,7 @@
         background::start(&cluster.node);
         assert!(
             eventually(5.0, || cluster.may_act()).await,
-            "elected, and has a view"
+            "elected, with a view of cancellations"
         );
         cluster
     }
@@ -42,19 +42,20 @@
     }
 }
 
-/// Its submission fits no value, so that it stands in chunks beside its record.
+/// A job whose submission is too large for one value, so that it is stored in chunks beside its
+/// record.
 fn chunked_job(id: &str) -> Submission {
-    let kinds = (0..3000).map(|n| format!("kind-{n:08}"));
+    let unknown_types = (0..3000).map(|n| format!("kind-{n:08}"));
     Submission {
-        machine_types: Some(kinds.chain(["m8".into()]).collect()),
+        machine_types: Some(unknown_types.chain(["m8".into()]).collect()),
         ..job(id, &[])
     }
 }
 
-/// A record whose chunks could not be read kept all that came after it from the leader,
-/// cancellations too, for as long as that lasted, while its lease was renewed.
+/// While the chunks of a submission could not be read, all later changes, cancellations included,
+/// did not reach the leader, although its lease was renewed.
 #[test]
-fn unreadable_submission_keeps_no_cancellation_from_the_leader() {
+fn unreadable_submission_does_not_delay_cancellations() {
     run(async {
         let cluster = TestCluster::leading().await;
         assert_eq!(cluster.submit(&job("wk-000001", &[])).await.0, 201);
@@ -67,21 +68,22 @@
             "cancelled"
         );
         assert!(!cluster.leader_knows("wk-000002") && cluster.may_act());
-        // Over before it could be read, or read at last.
+        // One chunked job is cancelled before it can be read, the other is read later.
         assert_eq!(cluster.submit(&chunked_job("wk-000003")).await.0, 201);
         assert_eq!(cluster.cancel("wk-000003").await, 200);
         cluster.store_faults.refuse(&[]);
         assert!(
             eventually(3.0, || cluster.leader_knows("wk-000002")).await,
-            "read at last"
+            "read once the store serves it"
         );
         tokio::time::sleep(Duration::from_millis(500)).await;
-        assert!(!cluster.leader_knows("wk-000003"), "it was over by then");
+        assert!(!cluster.leader_knows("wk-000003"), "cancelled before");
     });
 }
 
-/// The watch hangs while the lease is renewed: nothing is answered past the view's time, a
-/// hello renews no shard, and leadership is given up for another that may see more.
+/// The watch hangs while the lease is renewed. Once the view of cancellations is too old the
+/// leader may not act, its responses to hellos renew no shard lease, and it gives up leadership
+/// for another controller that may have a newer view.
 #[test]
 fn hanging_watch_ends_the_right_to_act() {
     run(async {
@@ -96,9 +98,9 @@
         let after = cluster.node.now() - since;
         assert!(
             after > cluster.node.timing.view_max_age_s - 1.5,
-            "not before its time: {after}"
+            "too early: {after}"
         );
-        assert!(cluster.may_write(), "its lease is renewed as ever");
+        assert!(cluster.may_write(), "the lease is still renewed");
         let hello = PeerRequest::Hello {
             from: "n1".into(),
             store_reachable: true,
@@ -115,14 +117,17 @@
         }
         let lease = cluster.node.lock_state().term.leadership.lease_id();
         let stepped_down = || cluster.node.lock_state().term.leadership.lease_id() != lease;
-        assert!(eventually(8.0, stepped_down).await, "another may see more");
+        assert!(
+            eventually(8.0, stepped_down).await,
+            "gives up leadership without a view"
+        );
         cluster.store_faults.hang(&[]);
         assert!(eventually(8.0, || cluster.may_act()).await);
     });
 }
 
-/// A new leader read all jobs at its takeover and once more for its watch, in the seconds in
-/// which every worker reports to it.
+/// A new leader read all jobs during recovery and again for its watch, in the seconds in which
+/// every worker sends it a heartbeat.
 #[test]
 fn failover_reads_all_jobs_once_and_the_watch_continues_from_there() {
     run(async {
@@ -132,7 +137,7 @@
         background::start(&cluster.node);
         assert!(
             eventually(5.0, || cluster.may_act()).await,
-            "elected, and has a view"
+            "elected, with a view of cancellations"
         );
         assert!(cluster.leader_knows("wk-000001") && cluster.leader_knows("wk-000002"));
         assert_eq!(cluster.cancel("wk-000001").await, 200);
@@ -140,7 +145,7 @@
         let watched = || !cluster.leader_knows("wk-000001") && cluster.leader_knows("wk-000003");
         assert!(
             eventually(2.0, watched).await,
-            "the watch tells what came after"
+            "the watch reports later changes"
         );
         assert_eq!(cluster.store_faults.count_of("/keys?starts=j/"), 1);
     });
--- a/crates/node/tests/direct_commands.rs
+++ b/crates/node/tests/direct_commands.rs
@@ -1,5 +1,5 @@
-//! What the leader sends straight to workers: stops where no heartbeat comes any more, and
-//! questions where heartbeats look old.
+//! Requests that the leader sends directly to workers: stops to workers whose heartbeats no
+//! longer arrive, and status queries to workers whose heartbeats look outdated.
 
 mod common;
 
@@ -15,36 +15,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A worker that carries out direct commands, and sends heartbeats when the test says so.
+/// A worker that executes direct commands, and sends heartbeats when the test tells it to.
 #[derive(Default)]
 struct Worker {
     addr: String,
-    session: u64,
-    seq: u64,
-    token: u64,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     tasks: Vec<TaskStatus>,
     status_requests: u32,
 }
 
 impl Worker {
     fn heartbeat(&mut self) -> Heartbeat {
-        self.seq += 1;
+        self.sequence += 1;
         Heartbeat {
             machine: "vm-000001".into(),
             address: self.addr.clone(),
             machine_type: "m8".into(),
             zone: "a".into(),
             spot: true,
-            incarnation: self.session,
-            sequence: self.seq,
-            fencing_token: self.token,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             spot_notice_s: None,
             tasks: self.tasks.clone(),
         }
     }
 
-    fn carry_out(&mut self, token: u64, commands: &[Command]) {
-        self.token = token;
+    fn execute(&mut self, fencing_token: u64, commands: &[Command]) {
+        self.fencing_token = fencing_token;
         for c in commands {
             match c {
                 Command::Start { task, attempt } => self.tasks.push(TaskStatus {
@@ -65,15 +65,16 @@
         }
     }
 
-    fn answer(&mut self, request: &Request) -> Response {
+    fn respond(&mut self, request: &Request) -> Response {
         if request.path == "/status" {
             self.status_requests += 1;
             return Response::new(200, encode(&self.heartbeat()));
         }
-        let orders: DirectCommands = decode(&request.body).unwrap();
-        let is_current = orders.incarnation == self.session && orders.fencing_token >= self.token;
+        let direct: DirectCommands = decode(&request.body).unwrap();
+        let is_current =
+            direct.incarnation == self.incarnation && direct.fencing_token >= self.fencing_token;
         if is_current {
-            self.carry_out(orders.fencing_token, &orders.commands);
+            self.execute(direct.fencing_token, &direct.commands);
         }
         Response::new(
             if is_current { 200 } else { 409 },
@@ -87,46 +88,48 @@
     }
 }
 
-async fn start_worker(session: u64) -> Arc<Mutex<Worker>> {
+async fn start_worker(incarnation: u64) -> Arc<Mutex<Worker>> {
     let host = Runtime::native();
     let listener = host.bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let worker = Arc::new(Mutex::new(Worker {
         addr: listener.local_addr().unwrap().to_string(),
-        session,
+        incarnation,
         ..Worker::default()
     }));
     let own = worker.clone();
-    let answer = move |r: Request, _: SocketAddr| {
+    let on_request = move |r: Request, _: SocketAddr| {
         let own = own.clone();
-        async move { own.lock().unwrap().answer(&r) }
+        async move { own.lock().unwrap().respond(&r) }
     };
-    tokio::spawn(server::serve(host, listener, 50, Arc::new(answer)));
+    tokio::spawn(server::serve(host, listener, 50, Arc::new(on_request)));
     worker
 }
 
-/// One heartbeat, and what its answer makes of the worker; its status.
+/// Sends one heartbeat, has the worker execute the commands in the response, and returns the
+/// response's status.
 async fn send_heartbeat(cluster: &TestCluster, worker: &Arc<Mutex<Worker>>) -> u16 {
     let heartbeat = worker.lock().unwrap().heartbeat();
-    let answer = cluster.post("/agent/beat", encode(&heartbeat)).await;
-    if let Ok(a) = decode::<HeartbeatResponse>(&answer.body)
-        && answer.status == 200
+    let response = cluster.post("/agent/beat", encode(&heartbeat)).await;
+    if let Ok(decoded) = decode::<HeartbeatResponse>(&response.body)
+        && response.status == 200
     {
         worker
             .lock()
             .unwrap()
-            .carry_out(a.fencing_token, &a.commands);
+            .execute(decoded.fencing_token, &decoded.commands);
     }
-    answer.status
+    response.status
 }
 
-/// Do heartbeats of the worker reach a controller?
+/// Whether heartbeats of the worker reach a controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Heartbeats {
     Sent,
     Lost,
 }
 
-/// Looks every 0.3 s until it holds, for 12 s at most, with a heartbeat each time.
+/// Checks a condition every 0.3 s until it holds, for at most 12 s. Sends a heartbeat each time
+/// unless `heartbeats` are lost. Returns false if the condition never held.
 async fn eventually(
     cluster: &TestCluster,
     worker: &Arc<Mutex<Worker>>,
@@ -145,14 +148,14 @@
     holds()
 }
 
-/// Its heartbeats reach nobody, and direct commands reach it.
+/// The worker's heartbeats reach no controller, but direct commands reach the worker.
 #[test]
 fn silent_machine_is_sent_the_stops_of_cancelled_tasks() {
     run(async {
         let cluster = TestCluster::single().await;
         background::start(&cluster.node);
         let worker = start_worker(1).await;
-        let has_token = || worker.lock().unwrap().token > 0;
+        let has_token = || worker.lock().unwrap().fencing_token > 0;
         assert!(eventually(&cluster, &worker, Heartbeats::Sent, has_token).await);
         assert_eq!(cluster.submit(&job("wk-000001", &[])).await.0, 201);
         let is_running = || worker.lock().unwrap().running() == 1;
@@ -162,7 +165,7 @@
         let stopped = || worker.lock().unwrap().running() == 0;
         assert!(
             eventually(&cluster, &worker, Heartbeats::Lost, stopped).await,
-            "no heartbeat carried the stop"
+            "stopped without a heartbeat"
         );
         let free = || {
             let term = &cluster.node.lock_state().term;
@@ -171,29 +174,30 @@
         };
         assert!(
             eventually(&cluster, &worker, Heartbeats::Lost, free).await,
-            "its answer says so"
+            "freed by the worker's response to the stop"
         );
     });
 }
 
-/// Its numbers begin anew, and look older than those before its restart.
+/// The incarnation and sequence of a restarted worker begin anew, and look older than those
+/// before its restart.
 #[test]
-fn restarted_worker_is_asked_and_gets_work_again() {
+fn restarted_worker_gets_a_status_query_and_then_work() {
     run(async {
         let cluster = TestCluster::single().await;
         background::start(&cluster.node);
         let worker = start_worker(5).await;
-        let has_token = || worker.lock().unwrap().token > 0;
+        let has_token = || worker.lock().unwrap().fencing_token > 0;
         assert!(eventually(&cluster, &worker, Heartbeats::Sent, has_token).await);
         {
             let mut worker = worker.lock().unwrap();
-            (worker.session, worker.seq, worker.token) = (1, 0, 0);
+            (worker.incarnation, worker.sequence, worker.fencing_token) = (1, 0, 0);
         }
         assert_eq!(cluster.submit(&job("wk-000001", &[])).await.0, 201);
         let is_running = || worker.lock().unwrap().running() == 1;
         assert!(
             eventually(&cluster, &worker, Heartbeats::Sent, is_running).await,
-            "it gets work"
+            "the worker gets work"
         );
         assert_eq!(worker.lock().unwrap().status_requests, 1);
     });
