--- a/crates/checker/src/aims.rs
+++ b/crates/checker/src/aims.rs
@@ -1,31 +1,33 @@
-//! Aims, price and useful work, counted as the protocol page says.
+//! Measures objectives, price and useful work as the protocol page defines them.
 
 use crate::history::{Aim, Event, Facts, Job, Off, State, What, job_of};
 use std::collections::BTreeMap;
 
-/// s within which a command to stop undoes a start.
+/// Time within which a command to stop makes a start not count, in ms.
 const START_HOLDS_MS: u64 = 30_000;
 
-/// One class of jobs.
+/// Figures of one class of jobs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClassFigures {
     pub jobs: usize,
     pub done: usize,
-    /// s from the first attempt to submit to the end of the last task.
+    /// Mean and 95th percentile of the time from when a job was ready (submitted for the first
+    /// time, and all jobs that it needs done) to the end of its last task, in s.
     pub done_mean_s: f64,
     pub done_p95_s: f64,
-    /// s from the first attempt to the start of a task.
+    /// Mean and 95th percentile of the time from when a job was ready to the start of each task,
+    /// in s.
     pub wait_mean_s: f64,
     pub wait_p95_s: f64,
 }
 
-/// An aim, what was reached, and whether that is enough.
+/// An objective, the value reached, and whether it is met.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reached {
     pub aim: Aim,
     pub got: f64,
     pub met: bool,
-    /// Jobs or tasks that count.
+    /// Number of jobs or tasks that count.
     pub of: usize,
 }
 
@@ -33,9 +35,9 @@
 pub struct Aims {
     pub reached: Vec<Reached>,
     pub classes: BTreeMap<String, ClassFigures>,
-    /// Of all classes together.
+    /// Figures of all classes together.
     pub all: ClassFigures,
-    /// Money, in the price lists' unit.
+    /// Money spent, in the unit of the price lists.
     pub cost: f64,
     pub useful_cost: f64,
     pub useful_cpu_s: f64,
@@ -45,16 +47,16 @@
 #[derive(Debug)]
 struct Tracked {
     job: Job,
-    /// When it could start: submitted, or all that it needs done.
+    /// Time at which the job could start: submitted, and all jobs that it needs done.
     at: u64,
     submitted: u64,
     accepted: Option<u64>,
     refused: bool,
     unwanted: bool,
     told_done: Option<u64>,
-    /// First start of each task that counts.
+    /// Time of the first start of each task that counts.
     started: BTreeMap<u32, u64>,
-    /// Starts that may still be undone by a stop.
+    /// Times of starts that a stop may still make not count.
     fresh: BTreeMap<u32, u64>,
     done: BTreeMap<u32, u64>,
     guaranteed: bool,
@@ -86,11 +88,12 @@
 struct Machine {
     cpus: f64,
     since: u64,
-    /// CPU-seconds of useful work done on it.
+    /// CPU-seconds of useful work done on the machine.
     useful: f64,
 }
 
-/// The value below which `share` of the sorted values lie.
+/// Returns the smallest value such that at least `share` of the sorted values are no larger, or
+/// 0 if there is none.
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
     if sorted.is_empty() {
         return 0.0;
@@ -103,7 +106,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// Share of `of` things, and how many counted; 1 of nothing.
+/// Returns `hits` as a share of `of`; 1 if `of` is 0.
 fn share(hits: usize, of: usize) -> f64 {
     if of == 0 {
         1.0
@@ -176,7 +179,7 @@
             What::Gone { machine, cost, .. } => {
                 aims.cost += cost;
                 if let Some(m) = machines.get(machine) {
-                    // Its whole price, for the share of it that did good.
+                    // The cost of the machine times the useful share of its CPU time.
                     let all = m.cpus * (at - m.since).max(1) as f64 / 1000.0;
                     aims.useful_cost += cost * (m.useful / all).min(1.0);
                     aims.useful_cpu_s += m.useful;
@@ -239,8 +242,8 @@
     Some((jobs.get_mut(job_of(task))?, n))
 }
 
-/// Times of a job that waited for others count from when the last of them was done; one
-/// that could never start counts as nobody's.
+/// Counts the times of a job that needs others from when the last of them was done. A job that
+/// could never start because one of them was not done counts as unwanted.
 fn wait_counts_from_ready(jobs: &mut BTreeMap<String, Tracked>) {
     let done = |id: &String| jobs.get(id)?.last_done();
     let ready: Vec<(String, Option<u64>)> = jobs
@@ -260,8 +263,8 @@
     }
 }
 
-/// Does the job fit its team's guarantee together with the team's earlier
-/// unfinished jobs?
+/// Whether the job fits the guarantee of its team together with the earlier unfinished jobs of
+/// the team.
 fn fits_guarantee(facts: &Facts, jobs: &BTreeMap<String, Tracked>, job: &Job) -> bool {
     let Some(team) = facts.teams.iter().find(|t| t.name == job.team) else {
         return false;
@@ -282,7 +285,7 @@
     before + f64::from(job.tasks) * job.cpus <= team.cpus
 }
 
-/// Jobs that count for their class.
+/// Returns the jobs that count for the class: neither unwanted nor refused.
 fn counted<'a>(
     jobs: &'a BTreeMap<String, Tracked>,
     class: &'a str,
@@ -323,7 +326,7 @@
 
 fn reach(aim: &Aim, jobs: &BTreeMap<String, Tracked>, facts: &Facts, sums: &Aims) -> Reached {
     let ms = |s: f64| (s * 1000.0) as u64;
-    // Of an array, only as many tasks as its team's limit allows at once.
+    // Of each job, only as many tasks count as the limit of its team allows at once.
     let counts = |t: &Tracked| {
         let limit = facts.teams.iter().find(|x| x.name == t.job.team);
         let limit = limit.map(|x| x.cpus_max).filter(|most| *most > 0.0);
@@ -349,7 +352,7 @@
             class, within_s, ..
         } => {
             let of = counted(jobs, class).count();
-            // Done means that the user hears so as well.
+            // A job counts as done only if its user was told so as well.
             let hit = |t: &&Tracked| {
                 let last = t.last_done();
                 last.is_some_and(|at| at - t.at <= ms(*within_s)) && t.told_done.is_some()
--- a/crates/checker/src/answers.rs
+++ b/crates/checker/src/answers.rs
@@ -1,26 +1,28 @@
-//! What a job's user has been told, and which later answers contradict it. An answer to a
-//! question that was sent before an earlier answer was received may be older than that one.
+//! Tracks the responses that the user of a job has received, and finds later responses that
+//! contradict them. A response to a request that was sent before an earlier response was
+//! received may be older than that response.
 
 use crate::breach::Rule;
 use crate::history::{Ask, State};
 
-/// An answer that an earlier one forbids.
+/// A contradiction to an earlier response or event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Contradiction {
     pub rule: Rule,
-    /// ms at which the earlier answer was received.
+    /// Time at which the earlier response was received, or the earlier event happened, in ms.
     pub since_ms: u64,
     pub why: String,
 }
 
-/// An answer to one question.
+/// The response to one request.
 #[derive(Debug, Clone, Copy)]
 pub struct Answer {
     pub ask: Ask,
-    /// ms at which the question was sent, and the answer received.
+    /// Time at which the request was sent, in ms.
     pub sent_ms: u64,
+    /// Time at which the response was received, in ms.
     pub at_ms: u64,
-    /// 0 is no response.
+    /// HTTP status; 0 if there was no response.
     pub status: u16,
     pub state: Option<State>,
 }
@@ -31,17 +33,17 @@
     }
 }
 
-/// The answers that later ones must not fall behind, of one job.
+/// The responses about one job that later ones must not fall behind.
 #[derive(Debug, Default)]
 pub struct Told {
-    /// ms at which its user first heard that it is accepted.
+    /// Time at which the user was first told that the job is accepted, in ms.
     pub accepted_ms: Option<u64>,
-    /// The final state that its user was told, and when.
+    /// The final state that the user was first told, and when.
     pub ended: Option<(State, u64)>,
 }
 
 impl Told {
-    /// What the answer contradicts.
+    /// Returns the contradictions of the response to earlier ones.
     pub fn contradictions(&self, answer: &Answer) -> Vec<Contradiction> {
         let all = [
             self.unknown(answer),
@@ -51,7 +53,7 @@
         all.into_iter().flatten().collect()
     }
 
-    /// Takes the answer in; true if it is the first that says that the job is over.
+    /// Records the response. Returns true if it is the first with a final state.
     pub fn hear(&mut self, answer: &Answer) -> bool {
         if !answer.accepts() {
             return false;
@@ -65,7 +67,8 @@
         first
     }
 
-    /// When its user had heard that it is accepted before asking this.
+    /// Returns when the user was told that the job is accepted, if that was no later than the
+    /// sending of this request.
     fn accepted_before(&self, answer: &Answer) -> Option<u64> {
         self.accepted_ms.filter(|ms| answer.sent_ms >= *ms)
     }
@@ -75,7 +78,7 @@
         (answer.status == 404).then(|| Contradiction {
             rule: Rule::Forgotten,
             since_ms,
-            why: "called unknown, but accepted".into(),
+            why: "reported as unknown, but accepted".into(),
         })
     }
 
@@ -85,19 +88,19 @@
         refused.then(|| Contradiction {
             rule: Rule::Forgotten,
             since_ms,
-            why: "a repeat was refused, but it was accepted".into(),
+            why: "a repeated submission was refused, but it was accepted".into(),
         })
     }
 
     fn changed(&self, answer: &Answer) -> Option<Contradiction> {
         let state = answer.state.filter(|_| answer.accepts())?;
         let (was, since_ms) = self.ended.filter(|(was, _)| *was != state)?;
-        // Two answers that crossed must still agree on the end.
+        // Final states must agree even if the response was sent before the earlier one arrived.
         let bound = answer.sent_ms >= since_ms || state.is_final();
         bound.then(|| Contradiction {
             rule: Rule::WentBack,
             since_ms,
-            why: format!("called {state:?}, but called {was:?}"),
+            why: format!("reported as {state:?}, but already reported as {was:?}"),
         })
     }
 }
--- a/crates/checker/src/breach.rs
+++ b/crates/checker/src/breach.rs
@@ -1,4 +1,4 @@
-//! The rules, and what is said of one that was broken.
+//! The rules, and the report of a violation.
 
 use crate::history::secs;
 use std::fmt;
@@ -14,18 +14,20 @@
     NotDone,
     WentBack,
     NothingRan,
-    /// A task starts before all jobs that its job needs are done.
+    /// A task started before all jobs that its job needs were done.
     TooEarly,
-    /// Still called queued or running after a job before it was cancelled.
+    /// A job was still reported as queued or running after a job that it needs was cancelled.
     Orphaned,
-    /// Not on the protocol page: the operators' own, if the scenario asks for it.
+    /// A group of jobs starved. A rule of the operators, not of the protocol page; checked if
+    /// the scenario asks for it.
     Starved,
-    /// Left waiting beside room once all troubles are over: the operators' own.
+    /// A job was left waiting although there was capacity, once all faults were over. A rule of
+    /// the operators.
     LeftWaiting,
-    /// A machine takes a start command long after its user was told cancelled, though
-    /// nothing delays commands.
+    /// A machine accepted a start command long after the user was told that the job is
+    /// cancelled, although nothing delayed commands.
     StartedCancelled,
-    /// A job that can never run or lacks a field was accepted.
+    /// A job that can never run, or that lacks a field, was accepted.
     AcceptedImpossible,
 }
 
@@ -48,7 +50,7 @@
         Rule::AcceptedImpossible,
     ];
 
-    /// Its name on the protocol page.
+    /// Returns the name of the rule on the protocol page and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Rule::RanTwice => "ran_twice",
@@ -70,16 +72,17 @@
     }
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breach {
     pub rule: Rule,
-    /// The job, or the task.
+    /// The job or task.
     pub what: String,
-    /// The machine, or the controller that said so.
+    /// The machine, or the controller that sent the response.
     pub place: String,
-    /// What it contradicts happened then.
+    /// Time of the earlier event that this one contradicts, in ms.
     pub since_ms: u64,
+    /// Time of the violation, in ms.
     pub at_ms: u64,
     pub why: String,
 }
--- a/crates/checker/src/calm.rs
+++ b/crates/checker/src/calm.rs
@@ -1,8 +1,8 @@
-//! Times without trouble: several rules ask for more while nothing is wrong outside.
+//! Quiet periods, in which no fault is active: several rules are stricter then.
 
 use crate::history::{Event, What};
 
-/// Counts the troubles that run.
+/// Counts the active faults.
 #[derive(Debug, Default)]
 pub struct Calm {
     running: u32,
@@ -10,7 +10,7 @@
 }
 
 impl Calm {
-    /// Takes the event in; true if it ended a time without trouble.
+    /// Processes an event. Returns true if it ended a quiet period.
     pub fn feed(&mut self, event: &Event) -> bool {
         let What::Trouble { on, .. } = &event.what else {
             return false;
@@ -25,7 +25,7 @@
         was_calm && *on
     }
 
-    /// ms at which the last trouble ended; none while one runs.
+    /// Returns the time at which the last fault ended, in ms; `None` while one is active.
     pub fn since_ms(&self) -> Option<u64> {
         (self.running == 0).then_some(self.last_change_ms)
     }
--- a/crates/checker/src/cancelled.rs
+++ b/crates/checker/src/cancelled.rs
@@ -1,28 +1,28 @@
-//! Starts after a confirmed cancellation. The protocol page forbids the start, but a command
-//! that was on its way when the user was told may still arrive: such starts are counted, and
-//! one that no delay explains is a breach.
+//! Starts after a confirmed cancellation. The protocol page forbids them, but a start command
+//! that was in flight when the user was told may still arrive: such starts are counted, and
+//! one that no delay explains is a violation.
 
 use crate::breach::{Breach, Rule};
 use crate::calm::Calm;
 use crate::history::{Event, State, What, job_of};
 use std::collections::BTreeMap;
 
-/// ms that a command may be on its way while no trouble runs: a worker drops answers that
-/// take 4 s, and a direct command is as fast as the network.
+/// Time for which a command may be in flight while no fault is active, in ms: a worker drops
+/// responses that take 4 s, and a direct command is as fast as the network.
 const ON_ITS_WAY_MS: u64 = 8_000;
 
-/// Watches the starts of cancelled jobs.
+/// Tracks the starts of cancelled jobs.
 #[derive(Debug, Default)]
 pub struct CancelledStarts {
-    /// When the user of each job was first told that it is cancelled.
+    /// Time at which the user of each job was first told that it is cancelled, in ms.
     told_ms: BTreeMap<String, u64>,
     calm: Calm,
-    /// Tasks that came onto a machine after their user was told.
+    /// Number of tasks that came onto a machine after their user was told.
     pub count: u64,
 }
 
 impl CancelledStarts {
-    /// Takes the event in; a breach if it is a start that nothing explains.
+    /// Processes an event. Returns a violation if it is a start that no delay explains.
     pub fn feed(&mut self, event: &Event) -> Option<Breach> {
         self.calm.feed(event);
         match &event.what {
@@ -44,10 +44,10 @@
         }
     }
 
-    /// A machine took a start command.
+    /// Checks a start command that a machine accepted.
     fn taken(&self, machine: &str, task: &str, at_ms: u64) -> Option<Breach> {
         let told_ms = *self.told_ms.get(job_of(task))?;
-        // A command that a trouble held up may come long after the telling.
+        // A command that a fault delayed may arrive long after the user was told.
         let explained_until = told_ms.max(self.calm.since_ms()?) + ON_ITS_WAY_MS;
         (at_ms > explained_until).then(|| Breach {
             rule: Rule::StartedCancelled,
@@ -55,7 +55,7 @@
             place: machine.to_string(),
             since_ms: told_ms,
             at_ms,
-            why: "a start command was taken, and its job was told cancelled".into(),
+            why: "a start command was accepted after its user was told of the cancellation".into(),
         })
     }
 }
--- a/crates/checker/src/failed_day.rs
+++ b/crates/checker/src/failed_day.rs
@@ -1,24 +1,24 @@
-//! When the operators count a day as failed, whatever the scenario asks: under half of a
-//! class, of a team or of a class's largest jobs is served, or the largest begin too late.
+//! The operators' criteria for a failed day, whatever the scenario asks for: under half of a
+//! class, of a team or of a class's largest jobs is served, or the largest start too late.
 
 use crate::starved::{Members, Starved};
 use std::fmt;
 
-/// The share of each group's jobs that must be done.
+/// The share of the jobs of each group that must be done.
 const SERVED_SHARE: f64 = 0.5;
-/// ms from when it is ready within which each of the largest accepted jobs must begin.
+/// Time within which each of the largest accepted jobs must start once it is ready, in ms.
 const LARGEST_BEGIN_MS: u64 = 240_000;
 
-/// Why a day counts as failed.
+/// A reason to count the day as failed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Failure {
-    /// A class, a team or the largest of a class got too little.
+    /// Too small a share of a class, of a team or of the largest jobs of a class was served.
     Underserved {
         group: String,
         served: usize,
         wanted: usize,
     },
-    /// One of the largest jobs of its class began too late, or never.
+    /// One of the largest jobs of its class started too late, or never.
     LateStart { job: String, after_s: f64 },
 }
 
@@ -32,13 +32,13 @@
             } => write!(f, "{group}: {served} of {wanted} jobs served, under half"),
             Failure::LateStart { job, after_s } => write!(
                 f,
-                "{job}: of the largest of its class, not begun for {after_s:.0} s"
+                "{job}: among the largest of its class, not started for {after_s:.0} s"
             ),
         }
     }
 }
 
-/// All that speaks against the day, at its end.
+/// Returns all reasons to count the day as failed, at its end.
 pub(crate) fn failures(jobs: &Starved, at_ms: u64) -> Vec<Failure> {
     let shares = jobs.shares();
     let low = shares.iter().filter(|(_, s)| s.value() < SERVED_SHARE);
--- a/crates/checker/src/groups.rs
+++ b/crates/checker/src/groups.rs
@@ -5,7 +5,7 @@
 use crate::waiting::Waiting;
 use std::collections::BTreeMap;
 
-/// What the jobs of a group have in common.
+/// The property that the jobs of a group share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GroupKind {
     Class,
@@ -21,24 +21,24 @@
     }
 }
 
-/// One class or team.
+/// Figures of one class or team.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupFigures {
     pub kind: GroupKind,
     pub name: String,
-    /// All that were submitted.
+    /// Number of submitted jobs.
     pub jobs: usize,
-    /// Of those that were wanted and could run.
+    /// Share of the jobs done, of those that were wanted and could run.
     pub served: Share,
-    /// Of a class with ten jobs or more: its largest tenth.
+    /// Share of the largest tenth of a class that has ten jobs or more.
     pub largest: Option<Share>,
-    /// s of the longest wait of a job beside room while no trouble ran.
+    /// Longest wait of a job although there was capacity, while no fault was active, in s.
     pub longest_wait_s: f64,
-    /// s of the longest time in which no question about an accepted job was answered.
+    /// Longest time in which no request about an accepted job got a conclusive response, in s.
     pub longest_unanswered_s: f64,
 }
 
-/// The figures of all classes, then of all teams.
+/// Returns the figures of all classes, then of all teams.
 pub(crate) fn figures(
     jobs: &Starved,
     waiting: &Waiting,
--- a/crates/checker/src/history.rs
+++ b/crates/checker/src/history.rs
@@ -1,40 +1,40 @@
-//! What happened, as the outside world saw it: users, machines and the tool
-//! that made trouble. One line of JSON an event; the digest is over these lines,
-//! so `b3sum history.jsonl` repeats it.
+//! The events of a run as observed outside the controllers: by users, machines and the fault
+//! injection. Each event is one line of JSON. The digest covers these lines, so that
+//! `b3sum history.jsonl` reproduces it.
 
 pub use cherrywood_scenario::deployment::{Aim, MachineType, Served, Team};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// ms since the scenario began.
+    /// Time since the start of the scenario, in ms.
     pub at_ms: u64,
     #[serde(flatten)]
     pub what: What,
 }
 
-/// What the checker must know of the deployment.
+/// The facts about the deployment that the checker needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
     pub cancel_s: f64,
     pub teams: Vec<Team>,
     pub kinds: Vec<MachineType>,
     pub aims: Vec<Aim>,
-    /// What every class and team must have of its jobs, if the scenario asks for it.
+    /// The share of its jobs that each class and team must have done, if the scenario sets it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub served: Option<Served>,
 }
 
-/// What a user submitted.
+/// A submitted job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     pub id: String,
     pub class: String,
     pub team: String,
-    /// Runs until it is cancelled.
+    /// Whether the job runs until it is cancelled.
     pub standing: bool,
     pub tasks: u32,
-    /// Of each task.
+    /// CPUs of each task; GPUs and memory are likewise per task.
     pub cpus: f64,
     #[serde(default)]
     pub gpus: f64,
@@ -45,7 +45,7 @@
     pub one_zone: bool,
     pub spread: bool,
     pub spot: bool,
-    /// Jobs that must be done before it starts.
+    /// Jobs that must be done before this one starts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<String>,
 }
@@ -58,7 +58,7 @@
     Cancel,
 }
 
-/// What a user was told.
+/// The state of a job as reported to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
@@ -80,9 +80,9 @@
     Done,
     Stopped,
     Error,
-    /// Its worker's lease ended.
+    /// The lease of the worker expired.
     Lease,
-    /// Its machine is gone.
+    /// The machine is gone.
     Gone,
 }
 
@@ -95,11 +95,11 @@
         seed: u64,
         facts: Facts,
     },
-    /// A user's first attempt.
+    /// A user submits a job for the first time.
     Submitted {
         job: Job,
     },
-    /// What came of a user's request; `status` 0 is no response.
+    /// The result of a user's request; `status` is 0 if there was no response.
     Told {
         ask: Ask,
         job: String,
@@ -109,16 +109,16 @@
         state: Option<State>,
         node: String,
     },
-    /// The user wants the job cancelled, and asks from now on.
+    /// The user no longer wants the job, and requests its cancellation from now on.
     Unwanted {
         job: String,
     },
-    /// A user is about to submit a job without this field.
+    /// A user is about to submit a job that lacks this field.
     LacksField {
         job: String,
         field: String,
     },
-    /// The user has stopped trying to submit it.
+    /// The user has stopped trying to submit the job.
     GaveUp {
         job: String,
     },
@@ -129,42 +129,42 @@
         spot: bool,
         request: String,
     },
-    /// Its worker starts to report.
+    /// The worker of the machine starts to send heartbeats.
     Up {
         machine: String,
     },
-    /// No longer charged; `cost` is all that was paid for it.
+    /// The machine is no longer charged; `cost` is the total that was paid for it.
     Gone {
         machine: String,
         why: String,
         cost: f64,
     },
-    /// A machine took a start command and has the image fetched if need be.
+    /// A machine accepted a start command, and fetches the image unless it has it.
     Starts {
         machine: String,
         task: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// The task has its image: it is on the machine from now on.
+    /// The image is available: the task is on the machine from now on.
     On {
         machine: String,
         task: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// A task that a machine had taken ended before it had its image.
+    /// A task whose start command was accepted ended before its image was available.
     Dropped {
         machine: String,
         task: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// The cloud will take the machine: nothing should be started there.
+    /// A spot notice: the cloud will reclaim the machine, and nothing should be started on it.
     Notice {
         machine: String,
     },
-    /// A command told it to stop, not because of a notice.
+    /// A command stops the task, for another reason than a spot notice.
     Stops {
         machine: String,
         task: String,
@@ -175,24 +175,25 @@
         #[serde(rename = "try")]
         attempt: u64,
         why: Off,
-        /// s of run time that this stay did for good: completed, or saved.
+        /// Run time of this attempt whose result is kept because the task completed or saved
+        /// a checkpoint, in s.
         kept_s: f64,
     },
-    /// A worker's lease ended: all its tasks are killed.
+    /// The lease of a worker expired: all its tasks are killed.
     LeaseEnds {
         machine: String,
     },
-    /// A controller was started, killed, stood still or went on.
+    /// A controller was started, killed, paused or resumed.
     Node {
         node: String,
         now: String,
     },
-    /// Trouble begins or ends.
+    /// A fault begins (`on`) or ends.
     Trouble {
         trouble: String,
         on: bool,
     },
-    /// What waits in each level, as the leader sees it.
+    /// Tasks that wait in each level, as reported by the leader.
     Waiting {
         levels: Vec<u32>,
     },
@@ -211,7 +212,7 @@
     pub fn record(&mut self, at_ms: u64, what: What) -> &Event {
         let event = Event { at_ms, what };
         self.line.clear();
-        // Plain data: writing it to memory can't fail.
+        // Serializing plain data to memory cannot fail.
         let _ = serde_json::to_writer(&mut self.line, &event);
         self.line.push(b'\n');
         self.hasher.update(&self.line);
@@ -219,7 +220,7 @@
         &self.events[self.events.len() - 1]
     }
 
-    /// Of all lines so far, the first 16 hexadecimal digits of blake3.
+    /// Returns the first 16 hexadecimal digits of the BLAKE3 hash of all lines so far.
     pub fn digest(&self) -> String {
         self.hasher.finalize().to_hex()[..16].to_string()
     }
@@ -232,7 +233,7 @@
         out.flush()
     }
 
-    /// Reads what [`History::write`] wrote; an error names the line.
+    /// Reads a history written by [`History::write`]; an error names the line.
     pub fn read(text: &str) -> Result<History, String> {
         let mut history = History::default();
         for (at, line) in text.lines().enumerate() {
@@ -244,12 +245,12 @@
     }
 }
 
-/// `wk-000412` of `wk-000412/3`.
+/// Returns the job of a task: `wk-000412` for `wk-000412/3`.
 pub(crate) fn job_of(task: &str) -> &str {
     task.split_once('/').map_or(task, |(job, _)| job)
 }
 
-/// s with a decimal, for messages.
+/// Formats a time in seconds with three decimals, for messages.
 pub(crate) fn secs(ms: u64) -> String {
     format!("{}.{:03} s", ms / 1000, ms % 1000)
 }
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -1,6 +1,7 @@
-//! Checks a recorded history by the protocol page alone: every rule, what
-//! became of each job, who starved, and the aims. It shares no code with the controllers,
-//! so a mistake of theirs is not repeated here.
+//! Checks a recorded history against the rules of the protocol page: names every violation,
+//! and determines the outcome of each job, which groups of jobs starved, and whether the
+//! objectives were met. It shares no code with the controllers, so that a mistake of theirs is
+//! not repeated here.
 
 pub mod aims;
 pub mod answers;
--- a/crates/checker/src/placement.rs
+++ b/crates/checker/src/placement.rs
@@ -1,10 +1,10 @@
-//! Whether a job allows a task on a machine, given where its other tasks are.
+//! Checks whether a job allows a task on a machine, given the placement of its other tasks.
 
 use crate::answers::Contradiction;
 use crate::breach::Rule;
 use crate::history::Job;
 
-/// What the rules about places ask of a machine.
+/// The properties of a machine that the rules about placement refer to.
 #[derive(Debug)]
 pub struct Place {
     pub kind: String,
@@ -12,14 +12,14 @@
     pub spot: bool,
 }
 
-/// Another task of the job on a machine: in which zone if that is known, and since when.
+/// Another task of the job on a machine: its zone, if known, and since when it is there.
 #[derive(Debug, Clone, Copy)]
 pub struct Placed<'a> {
     pub zone: Option<&'a str>,
     pub since_ms: u64,
 }
 
-/// Why a task of the job may not start there at this time.
+/// Returns why a task of the job may not start on the machine at this time, if so.
 pub fn wrong_place(
     job: &Job,
     place: &Place,
@@ -37,7 +37,7 @@
     })
 }
 
-/// What the job says of each of its tasks by itself.
+/// Returns why the job does not allow the machine for any of its tasks, if so.
 fn not_allowed(job: &Job, place: &Place) -> Option<String> {
     if job.kinds.as_ref().is_some_and(|k| !k.contains(&place.kind)) {
         return Some(format!("its job doesn't allow the type {}", place.kind));
@@ -49,15 +49,18 @@
     spot.then(|| "its job doesn't allow spot machines".to_string())
 }
 
-/// All tasks must be in one zone, and one is elsewhere since then.
+/// Returns since when another task is in another zone although all must be in one zone.
 fn in_another_zone(job: &Job, place: &Place, others: &[Placed]) -> Option<(u64, String)> {
     let elsewhere = |other: &&Placed| other.zone != Some(place.zone.as_str());
     let other = others.iter().find(elsewhere).filter(|_| job.one_zone)?;
-    let why = format!("its job must be in one zone, and is in {:?}", other.zone);
+    let why = format!(
+        "its job must be in one zone, and has a task in {:?}",
+        other.zone
+    );
     Some((other.since_ms, why))
 }
 
-/// At most half of the tasks, rounded up, may be in one zone.
+/// Returns why the task would exceed half of the tasks, rounded up, in one zone, if so.
 fn too_many_in_zone(job: &Job, place: &Place, others: &[Placed]) -> Option<String> {
     let here = |other: &&Placed| other.zone == Some(place.zone.as_str());
     let count = others.iter().filter(here).count();
--- a/crates/checker/src/room.rs
+++ b/crates/checker/src/room.rs
@@ -1,13 +1,13 @@
-//! Who uses what: tasks on machines and the room beside them, and what each team uses, with
-//! the time since which a task of a given size would have had room.
+//! Tracks the free capacity of machines and of team limits, with the time since which a task of
+//! a given size would have fitted.
 
 use crate::history::{Facts, Job, MachineType};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Amounts that sums of decimal numbers may be off by.
+/// Tolerance for the rounding errors of sums of decimal numbers.
 const ROUNDING: f64 = 1e-6;
 
-/// What a task takes.
+/// The resources that a task takes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Size {
     pub cpus: f64,
@@ -16,7 +16,7 @@
 }
 
 impl Size {
-    /// Of each task of the job.
+    /// Returns the size of each task of the job.
     pub fn of(job: &Job) -> Size {
         Size {
             cpus: job.cpus,
@@ -38,11 +38,11 @@
     }
 }
 
-/// Room of a machine or of a team's limit, and since when each size has fitted into it.
+/// Free capacity of a machine or under a team's limit, and since when each size has fitted in.
 #[derive(Debug)]
 struct Room {
     left: Size,
-    /// By the number of the size.
+    /// Indexed by the number of the size.
     fits_since_ms: Vec<Option<u64>>,
 }
 
@@ -70,20 +70,20 @@
     }
 }
 
-/// A machine that is up, from its rental to its end.
+/// A machine, from its rental until it is gone.
 #[derive(Debug)]
 struct Machine {
     kind: String,
     zone: String,
     spot: bool,
-    /// None before it is up.
+    /// `None` before the machine is up.
     room: Option<Room>,
-    /// Nothing should be started there: it was given notice, or tasks failed on it.
+    /// Whether nothing should be started here: after a spot notice, or after a task failed.
     avoided: bool,
     tasks: BTreeMap<String, Size>,
 }
 
-/// All machines and teams.
+/// Free capacity of all machines and teams.
 #[derive(Debug, Default)]
 pub struct Rooms {
     kinds: BTreeMap<String, Size>,
@@ -93,7 +93,7 @@
 }
 
 impl Rooms {
-    /// Machine types and limits of the deployment.
+    /// Takes over the machine types and team limits of the deployment.
     pub fn begin(&mut self, facts: &Facts) {
         let size = |kind: &MachineType| Size {
             cpus: kind.cpus,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The number of this size, under which its room is kept.
+    /// Returns the number of this size, registering it if it is new.
     pub fn number(&mut self, size: Size, at_ms: u64) -> usize {
         if let Some(number) = self.sizes.iter().position(|s| *s == size) {
             return number;
@@ -161,7 +161,7 @@
         }
     }
 
-    /// A task takes its room on a machine, from the start command on.
+    /// Allocates the capacity of a task on a machine, from the start command on.
     pub fn take(&mut self, name: &str, task: &str, size: Size, at_ms: u64) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// It gives its room back. False if it had none.
+    /// Releases the capacity of a task. Returns false if it had none.
     pub fn give(&mut self, name: &str, task: &str, at_ms: u64) -> bool {
         let Some(machine) = self.machines.get_mut(name) else {
             return false;
@@ -187,26 +187,26 @@
         true
     }
 
-    /// The tasks that a machine has.
+    /// Returns the tasks that have capacity on a machine.
     pub fn tasks(&self, name: &str) -> Vec<String> {
         let machine = self.machines.get(name);
         machine.map_or(Vec::new(), |m| m.tasks.keys().cloned().collect())
     }
 
-    /// A team uses this much more (`times` 1), or less (-1).
+    /// Adds the size to the usage of a team (`times` 1), or subtracts it (-1).
     pub fn use_limit(&mut self, team: &str, size: Size, times: f64, at_ms: u64) {
         if let Some(room) = self.teams.get_mut(team) {
             room.change(size, -times, &self.sizes, at_ms);
         }
     }
 
-    /// Since when the team has been under its limit by this size.
+    /// Returns the time since which the team has been under its limit by this size.
     pub fn team_since_ms(&self, team: &str, number: usize) -> Option<u64> {
         self.teams.get(team)?.fits_since_ms[number]
     }
 
-    /// Since when a machine that the job allows, in a zone that it may use now, has had room;
-    /// the earliest, with its name.
+    /// Returns the earliest time since which a machine that the job allows, in a zone that the
+    /// job may use now, has had capacity for a task, with the name of the machine.
     pub fn machine_since_ms(
         &self,
         job: &Job,
@@ -229,7 +229,7 @@
         since.min()
     }
 
-    /// The zone of a machine.
+    /// Returns the zone of a machine.
     pub fn zone(&self, name: &str) -> Option<&str> {
         self.machines.get(name).map(|m| m.zone.as_str())
     }
--- a/crates/checker/src/rules.rs
+++ b/crates/checker/src/rules.rs
@@ -1,4 +1,4 @@
-//! Every rule of the protocol page, fed event by event.
+//! Checks every rule of the protocol page, event by event.
 
 use crate::answers::{Answer, Told};
 use crate::breach::{Breach, Rule};
@@ -15,9 +15,9 @@
 mod starts;
 mod told;
 
-/// ms for which every poll for a job must fail to call it forgotten.
+/// Time for which every status query for a job must fail before it counts as forgotten, in ms.
 const SILENT_MS: u64 = 90_000;
-/// CPUs that sums of decimal amounts may be off by.
+/// Tolerance for the rounding errors of sums of decimal amounts, in CPUs.
 const ROUNDING: f64 = 1e-6;
 
 #[derive(Debug)]
@@ -25,17 +25,17 @@
     job: Job,
     told: Told,
     unwanted: Option<u64>,
-    /// When each finished task was done.
+    /// Time at which each finished task was done.
     done: BTreeMap<u32, u64>,
-    /// Tasks on machines: machine, since when.
+    /// Machines that have each task, with the time since when.
     on: BTreeMap<u32, Vec<(String, u64)>>,
-    /// First poll of an unbroken run of failed ones.
+    /// Time of the first status query in the current run of failed ones.
     silent: Option<u64>,
 }
 
 #[derive(Debug, Default)]
 struct Polls {
-    /// Of each whole second: answered, and failed.
+    /// Successful and failed status queries in each whole second.
     by_second: BTreeMap<u64, (u32, u32)>,
 }
 
@@ -59,16 +59,16 @@
     }
 }
 
-/// Takes the events one by one, and names every rule that they break.
+/// Takes the events one by one, and records every violation.
 #[derive(Debug, Default)]
 pub struct Checker {
     facts: Option<Facts>,
     jobs: BTreeMap<String, Known>,
     machines: HashMap<String, Place>,
-    /// CPUs of each team on machines, and when a task of it last started.
+    /// CPUs that each team uses on machines, and the time at which a task of it last started.
     used: BTreeMap<String, (f64, u64)>,
     polls: Polls,
-    /// Jobs told cancelled that still have tasks on machines, by deadline.
+    /// Jobs whose users were told of the cancellation, by the deadline for their tasks to end.
     overdue: BTreeSet<(u64, String)>,
     starts: u64,
     submitted: u64,
@@ -76,13 +76,13 @@
     waiting: Waiting,
     cancelled: CancelledStarts,
     unanswered: Unanswered,
-    /// Fields that submissions lack, by job.
+    /// The field that the submission of a job lacks, by job.
     lacking: BTreeMap<String, String>,
-    /// At the end: why the operators would count the day as failed.
+    /// Reasons to count the day as failed by the operators' criteria; set at the end.
     pub failures: Vec<Failure>,
-    /// At the end: figures of each class and team.
+    /// Figures of each class and team; set at the end.
     pub groups: Vec<GroupFigures>,
-    /// At the end, if the scenario asks how its classes are served.
+    /// The least served class or team; set at the end if the scenario asks for a served share.
     pub least: Option<Least>,
     pub breaches: Vec<Breach>,
 }
@@ -167,12 +167,14 @@
         self.jobs.entry(job.id.clone()).or_insert(known);
     }
 
-    /// ms after the telling within which all tasks of a cancelled job must be gone.
+    /// Returns the time after the user was told of a cancellation within which all tasks of the
+    /// job must be gone, in ms.
     fn cancel_ms(&self) -> u64 {
         (self.facts.as_ref().map_or(0.0, |f| f.cancel_s) * 1000.0) as u64
     }
 
-    /// Cancelled jobs whose time to be gone is over.
+    /// Records a violation for each task that is on a machine past the deadline of its
+    /// cancelled job.
     fn expire(&mut self, now: u64) {
         while let Some((deadline, id)) = self.overdue.first().cloned()
             && deadline < now
@@ -192,7 +194,7 @@
                     place: machine.clone(),
                     since_ms: told,
                     at_ms: deadline,
-                    why: "still there, and its job was told cancelled".into(),
+                    why: "still there after its user was told of the cancellation".into(),
                 })
                 .collect();
             self.breaches.extend(late);
@@ -238,22 +240,24 @@
                 place: "all machines".into(),
                 since_ms: 0,
                 at_ms: at,
-                why: "no task was started since".into(),
+                why: "no task has been started since".into(),
             });
         }
     }
 
-    /// Tasks that came onto machines after their user was told that the job is cancelled.
+    /// Returns the number of tasks that came onto machines after their user was told that the
+    /// job is cancelled.
     pub fn starts_after_cancel(&self) -> u64 {
         self.cancelled.count
     }
 
-    /// Jobs left waiting beside room before the last trouble was over: not a breach.
+    /// Returns the jobs that were left waiting although there was capacity before the last
+    /// fault was over; these are no violations.
     pub fn earlier_waits(&self) -> Vec<Wait> {
         self.waiting.earlier()
     }
 
-    /// How often each rule was broken.
+    /// Returns the number of violations of each rule.
     pub fn counts(&self) -> BTreeMap<&'static str, usize> {
         let mut counts: BTreeMap<_, _> = Rule::ALL.iter().map(|r| (r.name(), 0)).collect();
         for b in &self.breaches {
--- a/crates/checker/src/rules/starts.rs
+++ b/crates/checker/src/rules/starts.rs
@@ -1,4 +1,4 @@
-//! Rules about a task's start on a machine.
+//! Rules about the start of a task on a machine.
 
 use super::{Checker, Known, ROUNDING};
 use crate::answers::Contradiction;
@@ -7,7 +7,7 @@
 use crate::placement::{self, Placed};
 
 impl Checker {
-    /// A task is on a machine from now on.
+    /// Checks and records that a task is on a machine from now on.
     pub(super) fn on(&mut self, machine: &str, task: &str, at: u64) {
         self.starts += 1;
         let number = task.split_once('/').and_then(|(_, n)| n.parse().ok());
@@ -21,7 +21,7 @@
             _ => vec![Contradiction {
                 rule: Rule::Invented,
                 since_ms: at,
-                why: "nobody has submitted it; it started".into(),
+                why: "no user has submitted it; it started".into(),
             }],
         };
         let breach = |found: Contradiction| Breach {
@@ -35,7 +35,7 @@
         self.breaches.extend(found.into_iter().map(breach));
     }
 
-    /// What speaks against a start, apart from its team's limit.
+    /// Returns the rules that a start breaks, apart from the limit of its team.
     fn wrong_start(
         &self,
         known: &Known,
@@ -52,7 +52,7 @@
         found.into_iter().flatten().collect()
     }
 
-    /// A job that this one needs is not done.
+    /// Finds a job that this one needs and that is not done.
     fn too_early(&self, known: &Known, at_ms: u64) -> Option<Contradiction> {
         let undone = |id: &&String| {
             let known = self.jobs.get(*id);
@@ -62,11 +62,12 @@
         Some(Contradiction {
             rule: Rule::TooEarly,
             since_ms: at_ms,
-            why: format!("started before {need} was done; it began"),
+            why: format!("started before {need} was done; it started"),
         })
     }
 
-    /// Its user was told cancelled, and the time to be gone is over.
+    /// Finds a start after the user was told of the cancellation and the time for the tasks to
+    /// end is over.
     fn after_cancel(&self, known: &Known, at_ms: u64) -> Option<Contradiction> {
         let Some((State::Cancelled, told_ms)) = known.told.ended else {
             return None;
@@ -74,11 +75,11 @@
         (at_ms > told_ms + self.cancel_ms()).then(|| Contradiction {
             rule: Rule::RanCancelled,
             since_ms: told_ms,
-            why: "started, and its job was told cancelled".into(),
+            why: "started after its user was told of the cancellation".into(),
         })
     }
 
-    /// Its job doesn't allow the machine, given the job's other tasks.
+    /// Finds a machine that the job does not allow, given its other tasks.
     fn wrong_place(
         &self,
         known: &Known,
@@ -99,7 +100,7 @@
         placement::wrong_place(&known.job, place, &others, at_ms)
     }
 
-    /// Its team uses so much more; is that over the limit?
+    /// Adds the CPUs of a task to its team's usage, and checks the limit.
     fn use_more(&mut self, id: &str, at_ms: u64) -> Option<Contradiction> {
         let job = &self.jobs.get(id)?.job;
         let used = self.used.entry(job.team.clone()).or_default();
@@ -112,7 +113,7 @@
             rule: Rule::Quota,
             since_ms,
             why: format!(
-                "{} uses {} of {limit} CPUs; its last start",
+                "{} uses {} of {limit} CPUs; its previous start",
                 job.team, used.0
             ),
         })
@@ -126,12 +127,12 @@
     }
 }
 
-/// The task is on a machine already.
+/// Finds a machine that has the task already.
 fn already_on(known: &Known, number: u32) -> Option<Contradiction> {
     let (other, since_ms) = known.on.get(&number)?.first()?;
     Some(Contradiction {
         rule: Rule::RanTwice,
         since_ms: *since_ms,
-        why: format!("it is on {other} since"),
+        why: format!("already on {other}, where it started"),
     })
 }
--- a/crates/checker/src/rules/told.rs
+++ b/crates/checker/src/rules/told.rs
@@ -1,4 +1,4 @@
-//! Rules about what users are told.
+//! Rules about the responses that users receive.
 
 use super::{Checker, SILENT_MS};
 use crate::answers::{Answer, Contradiction};
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl Checker {
-    /// What came of a request about a job.
+    /// Checks the result of a request about a job.
     pub(super) fn told(&mut self, id: &str, answer: &Answer, node: &str) {
         if answer.ask == Ask::Poll {
             self.polls.count(answer);
@@ -25,10 +25,13 @@
             if matches!(answer.status, 200 | 201) {
                 let (rule, why) = match self.lacking.get(id) {
                     Some(field) => {
-                        let why = format!("accepted, but it lacks {field}; asked");
+                        let why = format!("accepted, but it lacks {field}; request sent");
                         (Rule::AcceptedImpossible, why)
                     }
-                    None => (Rule::Invented, "nobody has submitted it; asked".into()),
+                    None => (
+                        Rule::Invented,
+                        "no user has submitted it; request sent".into(),
+                    ),
                 };
                 self.breach(breach(rule, answer.sent_ms, why));
             }
@@ -46,7 +49,7 @@
         self.hear(id, answer);
     }
 
-    /// Takes the answer into what is known of its job.
+    /// Records the response with its job.
     fn hear(&mut self, id: &str, answer: &Answer) {
         let Some(known) = self.jobs.get_mut(id) else {
             return;
@@ -65,7 +68,8 @@
         }
     }
 
-    /// Every poll for it has failed for long, while most others were answered.
+    /// Finds a job for which every status query has failed for at least 90 s while most
+    /// status queries in that time succeeded.
     fn silent_while_others_heard(&mut self, id: &str, answer: &Answer) -> Option<Contradiction> {
         let known = self.jobs.get_mut(id)?;
         if answer.ask != Ask::Poll || matches!(answer.status, 200 | 201 | 404) {
@@ -77,7 +81,7 @@
             return None;
         }
         known.silent = None;
-        let why = "every poll has failed while most others were answered, since";
+        let why = "every status query has failed while most others succeeded; the first was sent";
         Some(Contradiction {
             rule: Rule::Forgotten,
             since_ms,
@@ -85,7 +89,7 @@
         })
     }
 
-    /// A job was accepted that had to be refused.
+    /// Finds the acceptance of a job that had to be refused.
     fn accepted_wrongly(&self, id: &str, answer: &Answer) -> Option<Contradiction> {
         let known = self.jobs.get(id)?;
         if known.told.accepted_ms.is_some() || !matches!(answer.status, 200 | 201) {
@@ -100,11 +104,11 @@
         Some(Contradiction {
             rule: Rule::AcceptedImpossible,
             since_ms: answer.sent_ms,
-            why: format!("accepted, but {why}; asked"),
+            why: format!("accepted, but {why}; request sent"),
         })
     }
 
-    /// States that other events than the user's own answers forbid.
+    /// Finds reported states that other events than earlier responses to the user contradict.
     fn state_is_wrong(&self, id: &str, answer: &Answer) -> Vec<Contradiction> {
         let (Some(known), 200 | 201, Some(state)) =
             (self.jobs.get(id), answer.status, answer.state)
@@ -124,22 +128,24 @@
         if let Some(since_ms) = orphan_ms
             && !state.is_final()
         {
-            let why = format!("called {state:?}, but a job before it was told cancelled");
+            let why =
+                format!("reported as {state:?}, but a job that it needs was reported as cancelled");
             add(Rule::Orphaned, since_ms, why);
         }
         if state == State::Cancelled && !self.wanted_cancelled(id, answer.at_ms) {
-            let why = "called cancelled, which its user never asked for; asked".to_string();
+            let why =
+                "reported as cancelled, which its user never requested; request sent".to_string();
             add(Rule::WentBack, answer.sent_ms, why);
         }
         let (done, tasks) = (known.done.len() as u32, known.job.tasks);
         if state == State::Done && (known.job.standing || done < tasks) {
-            let why = format!("called done with {done} of {tasks} tasks done; asked");
+            let why = format!("reported as done with {done} of {tasks} tasks done; request sent");
             add(Rule::NotDone, answer.sent_ms, why);
         }
         found
     }
 
-    /// All jobs that this one needs, directly or through others.
+    /// Returns all jobs that this one needs, directly or through others.
     fn before(&self, id: &str) -> BTreeSet<&str> {
         let mut found: BTreeSet<&str> = BTreeSet::new();
         let needs = |id: &str| self.jobs.get(id).map_or(&[][..], |k| &k.job.needs);
@@ -152,7 +158,8 @@
         found
     }
 
-    /// When the first of the jobs before it was told cancelled.
+    /// Returns the earliest time at which a user was told that a job that this one needs is
+    /// cancelled.
     fn orphaned_since(&self, id: &str) -> Option<u64> {
         let told = |id: &str| match self.jobs.get(id)?.told.ended? {
             (State::Cancelled, at) => Some(at),
@@ -161,7 +168,7 @@
         self.before(id).into_iter().filter_map(told).min()
     }
 
-    /// Did its user, or that of a job before it, want it cancelled by then?
+    /// Whether its user, or the user of a job that it needs, wanted a cancellation by that time.
     fn wanted_cancelled(&self, id: &str, at: u64) -> bool {
         let unwanted = |id: &str| {
             let known = self.jobs.get(id);
--- a/crates/checker/src/settle.rs
+++ b/crates/checker/src/settle.rs
@@ -1,13 +1,13 @@
-//! What became of each submitted job: exactly one end, with its evidence.
+//! Determines the outcome of each submitted job: exactly one, with its evidence.
 
 use crate::history::{Ask, Event, Off, State, What, job_of};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
-    /// 400 or 422, and nothing of it ran.
+    /// The submission was refused with 400 or 422, and no task ran.
     Refused,
-    /// Its user gave up without ever being told that it is accepted.
+    /// The user gave up without ever being told that the job is accepted.
     NeverAccepted,
     Done,
     Cancelled,
@@ -18,7 +18,7 @@
 pub struct Settled {
     pub end: End,
     pub at_ms: u64,
-    /// What shows it, or what is missing.
+    /// What proves the outcome, or what is missing.
     pub evidence: String,
 }
 
@@ -38,7 +38,7 @@
     here: i64,
 }
 
-/// Every submitted job and its end, as of the last event.
+/// Returns the outcome of every submitted job as of the last event.
 pub fn settle(events: &[Event]) -> BTreeMap<String, Settled> {
     let mut jobs: BTreeMap<&str, Seen> = BTreeMap::new();
     for e in events {
@@ -107,16 +107,19 @@
     };
     let unsettled = |why: String| settled(End::Unsettled, s.submitted, why);
     if s.finals.len() > 1 {
-        return unsettled(format!("called both done and cancelled: {:?}", s.finals));
+        return unsettled(format!(
+            "reported as both done and cancelled: {:?}",
+            s.finals
+        ));
     }
     if let Some((state, at)) = s.finals.first_key_value() {
         return match state {
             State::Cancelled if s.here > 0 => {
                 unsettled(format!("cancelled, but {} tasks still run", s.here))
             }
-            State::Cancelled => settled(End::Cancelled, *at, "told so".into()),
+            State::Cancelled => settled(End::Cancelled, *at, "reported as cancelled".into()),
             _ if s.standing || (s.done.len() as u32) < s.tasks => unsettled(format!(
-                "called done with {} of {} tasks done",
+                "reported as done with {} of {} tasks done",
                 s.done.len(),
                 s.tasks
             )),
@@ -136,7 +139,7 @@
         }
         (Some((status, at)), None, _) => settled(End::Refused, at, format!("status {status}")),
         (None, None, Some(at)) => {
-            let ran = if s.ran { ", though it ran" } else { "" };
+            let ran = if s.ran { ", but a task ran" } else { "" };
             let tries = s.attempts;
             settled(End::NeverAccepted, at, format!("{tries} attempts{ran}"))
         }
@@ -150,7 +153,7 @@
     }
 }
 
-/// How many jobs came to each end.
+/// Counts the jobs of each outcome.
 pub fn tally(settled: &BTreeMap<String, Settled>) -> BTreeMap<End, usize> {
     let mut tally = BTreeMap::new();
     for s in settled.values() {
--- a/crates/checker/src/starved.rs
+++ b/crates/checker/src/starved.rs
@@ -1,5 +1,5 @@
-//! Who starves: a class or a team of which less than the scenario asks was done in time,
-//! although what the others got beyond that would have been enough.
+//! Finds starvation: a class or a team with a smaller share of jobs done in time than the
+//! scenario asks for, although the excess that other groups got would have been enough.
 
 use crate::breach::{Breach, Rule};
 use crate::history::{Event, Facts, Job, MachineType, Off, What, job_of};
@@ -11,9 +11,11 @@
 struct Seen {
     job: Job,
     at: u64,
-    /// Nobody waits for it: its user wants it cancelled, or it was refused for good.
+    /// Whether no user waits for the job: it runs until cancelled, was refused for good, or its
+    /// user wants it cancelled.
     void: bool,
-    /// It can never run: wanted by nobody, also if its user gave up before it was refused.
+    /// Whether the job can never run. It does not count unless it was accepted, also if its
+    /// user gave up before it was refused.
     impossible: bool,
     done: BTreeSet<String>,
     done_at: Option<u64>,
@@ -24,31 +26,31 @@
 #[derive(Debug, Default)]
 pub struct Starved {
     asked: Option<Served>,
-    /// What can run at all.
+    /// Facts that determine which jobs can run at all.
     facts: Option<Facts>,
     jobs: BTreeMap<String, Seen>,
-    /// Run time that was of use, CPU seconds, and tasks done, by class.
+    /// Useful run time in CPU seconds, and number of tasks done, by class.
     useful: BTreeMap<String, (f64, u32)>,
     kinds: Vec<MachineType>,
-    /// CPUs of each machine, when it was up and when it was gone.
+    /// CPUs of each machine, and the times at which it was up and was gone.
     machines: BTreeMap<String, (f64, Option<u64>, Option<u64>)>,
 }
 
-/// The least served class or team, and what could have been.
+/// The least served class or team, and the share that would have been possible.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Least {
-    /// Share of its jobs done in time.
+    /// Share of the jobs of the group done in time.
     pub share: f64,
-    /// The class, its largest tenth, or the team.
+    /// Name of the group: a class, its largest tenth, or a team.
     pub name: String,
-    /// s until the last accepted job of the largest tenths of all classes began.
+    /// Longest time until an accepted job of the largest tenths of all classes started, in s.
     pub longest_start_s: f64,
-    /// The share that every class could have had on the machines that were up, had all
-    /// sizes been known and had no CPU ever waited or fetched.
+    /// Upper bound: the share that every class could have had on the machines that were up, if
+    /// all sizes had been known and no CPU had ever been idle or waited for an image fetch.
     pub bound: f64,
 }
 
-/// Jobs that are counted together.
+/// A group of jobs that are counted together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Members<'a> {
     Class(&'a str),
@@ -56,7 +58,7 @@
     Team(&'a str),
 }
 
-/// How many jobs were wanted, and how many of them were done.
+/// Number of jobs that were wanted, and of those that were served.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Share {
     pub wanted: usize,
@@ -64,7 +66,7 @@
 }
 
 impl Share {
-    /// The share that was done; all of none.
+    /// Returns the served share; 1 if no job was wanted.
     pub fn value(self) -> f64 {
         if self.wanted == 0 {
             return 1.0;
@@ -73,14 +75,15 @@
     }
 }
 
-/// One class or team at the end.
+/// Counts of one class, largest tenth or team.
 #[derive(Debug, Default)]
 struct Group {
     wanted: usize,
     served: usize,
     first_ms: Option<u64>,
-    /// Expected CPU seconds of the jobs that were served, and of those that weren't.
+    /// Sum of the estimated CPU seconds of the jobs that were served.
     got: f64,
+    /// Estimated CPU seconds of each job that was not served.
     missing: Vec<f64>,
 }
 
@@ -91,7 +94,7 @@
 }
 
 impl Seen {
-    /// Does anybody wait for it? What was accepted counts, whether it can run or not.
+    /// Whether a user waits for the job. An accepted job counts, whether it can run or not.
     fn wanted(&self) -> bool {
         !self.void && (self.accepted || !self.impossible)
     }
@@ -181,7 +184,8 @@
         }
     }
 
-    /// What a job takes, by what the tasks of its class took.
+    /// Returns the estimated CPU seconds of a job, from the mean useful run time of the done
+    /// tasks of its class, or of all classes if none of its class is done.
     fn work(&self, job: &Job) -> f64 {
         let (useful, tasks) = self.useful.get(&job.class).copied().unwrap_or_default();
         let all = self
@@ -192,15 +196,16 @@
         useful / f64::from(tasks.max(1)) * f64::from(job.tasks)
     }
 
-    /// When the last job that it needs was done, or it was submitted.
+    /// Returns when the job was submitted or the last job that it needs was done, whichever is
+    /// later; `None` if one that it needs is not done.
     fn ready_at(&self, s: &Seen) -> Option<u64> {
         let done = |id: &String| self.jobs.get(id)?.done_at;
         let ends: Option<Vec<u64>> = s.job.needs.iter().map(done).collect();
         Some(ends?.into_iter().fold(s.at, u64::max))
     }
 
-    /// The largest tenth of each class, by their work, if the scenario asks for their
-    /// beginning; all of a class of fewer than ten jobs is no tenth.
+    /// Returns the largest tenth of each class, by estimated work, if the scenario limits the
+    /// time until they start; none of a class of fewer than ten jobs.
     fn largest(&self) -> BTreeSet<&str> {
         match self.asked {
             Some(Served {
@@ -210,7 +215,7 @@
         }
     }
 
-    /// The largest tenth of each class, by their work.
+    /// Returns the largest tenth of each class, by estimated work.
     fn largest_tenths(&self) -> BTreeSet<&str> {
         let mut classes: BTreeMap<&str, Vec<(f64, &str)>> = BTreeMap::new();
         for s in self.jobs.values().filter(|s| s.wanted()) {
@@ -225,13 +230,14 @@
         largest
     }
 
-    /// ms until the last accepted job of the largest tenths began, since it was ready, with
-    /// its id; for one that never did, until now.
+    /// Returns the longest time from when an accepted job of the largest tenths was ready to its
+    /// start, in ms, or until now for one that has not started, with its id.
     pub fn longest_start(&self, at: u64) -> Option<(u64, &str)> {
         self.longest_start_of(&self.largest(), at)
     }
 
-    /// The same, whether or not the scenario asks for it.
+    /// Like [`Self::longest_start`], whether or not the scenario limits the time until the
+    /// largest jobs start.
     pub(crate) fn longest_start_of_tenths(&self, at: u64) -> Option<(u64, &str)> {
         self.longest_start_of(&self.largest_tenths(), at)
     }
@@ -251,17 +257,18 @@
         waits.max()
     }
 
-    /// Every class, its largest tenth, and every team, with the jobs whose time was over.
+    /// Returns every class, its largest tenth, and every team, with the jobs that were served or
+    /// whose time was over.
     fn groups(&self, within_ms: u64, at: u64) -> BTreeMap<(&str, &str), Group> {
         let mut groups: BTreeMap<(&str, &str), Group> = BTreeMap::new();
         let largest = self.largest();
         for s in self.jobs.values().filter(|s| s.wanted()) {
-            // One that waits for others counts from when they are done.
+            // A job that needs others counts from when they are done.
             let Some(from) = self.ready_at(s) else {
                 continue;
             };
             let class = s.job.class.as_str();
-            // The largest may begin later than others, and have as much longer to be done.
+            // The largest may start later than others, and have as much more time to be done.
             let begin_s = self.asked.and_then(|a| a.begin_s).unwrap_or(0.0);
             let longer_ms = within_ms + (begin_s * 1000.0) as u64;
             let tenth = largest.contains(s.job.id.as_str());
@@ -272,7 +279,7 @@
             ];
             for (what, name, within_ms) in all.into_iter().chain(tenth) {
                 let served = s.done_at.is_some_and(|d| d - from <= within_ms);
-                // Too late in the scenario for its time to be over.
+                // The time for this job is not over yet.
                 if !served && at < from + within_ms {
                     continue;
                 }
@@ -290,8 +297,8 @@
         groups
     }
 
-    /// How many jobs of every class, its largest tenth and every team were wanted and could
-    /// run, and how many of them were done by the end.
+    /// Returns, for every class, its largest tenth and every team, how many jobs were wanted and
+    /// could run, and how many of them were done by the end.
     pub(crate) fn shares(&self) -> BTreeMap<Members<'_>, Share> {
         let largest = self.largest_tenths();
         let mut shares: BTreeMap<Members<'_>, Share> = BTreeMap::new();
@@ -310,12 +317,12 @@
         shares
     }
 
-    /// Every submitted job.
+    /// Returns every submitted job.
     pub(crate) fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().map(|seen| &seen.job)
     }
 
-    /// The least served, if the scenario says in what time.
+    /// Returns the least served group, if the scenario asks for a served share.
     pub fn least(&self, at: u64) -> Option<Least> {
         let within_ms = (self.asked?.within_s * 1000.0) as u64;
         let groups = self.groups(within_ms, at);
@@ -337,7 +344,8 @@
             sizes.push(self.work(&s.job));
         }
         classes.values_mut().for_each(|c| c.sort_by(f64::total_cmp));
-        // The largest share whose smallest jobs fit, to a thousandth.
+        // The bound is the largest share, to a thousandth, for which the smallest jobs of every
+        // class together fit the CPU time of the machines.
         let takes = |thousandth: u32| -> f64 {
             let of = |c: &Vec<f64>| {
                 let n = (c.len() as f64 * f64::from(thousandth) / 1000.0).ceil() as usize;
@@ -357,7 +365,7 @@
         })
     }
 
-    /// At the end of the scenario.
+    /// Returns the violations at the end of the scenario.
     pub fn ends(&self, at: u64) -> Vec<Breach> {
         let Some(asked) = self.asked else {
             return Vec::new();
@@ -373,7 +381,9 @@
                 place: "all machines".into(),
                 since_ms: at.saturating_sub(ms),
                 at_ms: at,
-                why: format!("of the largest of its class, not begun within {begin_s} s, since"),
+                why: format!(
+                    "among the largest of its class, not started within {begin_s} s, since"
+                ),
             });
         }
         for ((what, name), g) in &groups {
@@ -384,7 +394,7 @@
             let mut missing = g.missing.clone();
             missing.sort_by(f64::total_cmp);
             let needs: f64 = missing.iter().take(lacks).sum();
-            // What the others of its kind got beyond what was asked for them.
+            // What the other groups of its kind got beyond the share asked for.
             let others = groups.iter().filter(|(k, _)| k.0 == *what && k.1 != *name);
             let spare = |g: &Group| g.got * (1.0 - asked.share / g.share().max(asked.share));
             let spare: f64 = others.map(|(_, g)| spare(g)).sum();
@@ -397,7 +407,7 @@
                     at_ms: at,
                     why: format!(
                         "{} of {} jobs done within {} s, {:.0} CPU s short while others had \
-                         {spare:.0} beyond their part, since",
+                         {spare:.0} beyond their part; first submitted",
                         g.served, g.wanted, asked.within_s, needs
                     ),
                 });
--- a/crates/checker/src/unanswered.rs
+++ b/crates/checker/src/unanswered.rs
@@ -1,25 +1,25 @@
-//! How long users ask about an accepted job without an answer.
+//! Measures how long the requests about an accepted job get no conclusive response.
 
 use crate::breach::{Breach, Rule};
 use crate::calm::Calm;
 use crate::history::{Ask, Event, What};
 use std::collections::BTreeMap;
 
-/// ms without an answer after which an accepted job counts as forgotten, once troubles are
-/// over, however others fare.
+/// Time without a conclusive response after which an accepted job counts as forgotten, once
+/// all faults are over and whether or not requests about other jobs succeed, in ms.
 pub const UNANSWERED_MS: u64 = 75_000;
 
 #[derive(Debug, Default)]
 struct Asked {
     accepted: bool,
-    /// When the first question was sent that has had no answer since.
+    /// Time at which the first request was sent since the last conclusive response, in ms.
     silent_since_ms: Option<u64>,
     longest_ms: u64,
-    /// The breach was reported for this silence.
+    /// Whether the violation was reported for this time without a response.
     reported: bool,
 }
 
-/// Watches the questions of each job's user.
+/// Tracks the requests about each job.
 #[derive(Debug, Default)]
 pub struct Unanswered {
     jobs: BTreeMap<String, Asked>,
@@ -27,7 +27,8 @@
 }
 
 impl Unanswered {
-    /// Takes the event in; a breach if a job has had no answer for too long.
+    /// Processes an event. Returns a violation if a job has had no conclusive response for too
+    /// long.
     pub fn feed(&mut self, event: &Event) -> Option<Breach> {
         self.calm.feed(event);
         let What::Told {
@@ -64,18 +65,20 @@
             place: node.clone(),
             since_ms: counted_ms,
             at_ms: event.at_ms,
-            why: "accepted, and no question about it was answered while no trouble ran, since"
+            why: "accepted, but no request about it succeeded while no fault was active; \
+                  counting began"
                 .into(),
         })
     }
 
-    /// ms of the longest time in which no question about this accepted job was answered.
+    /// Returns the longest time in which no request about this accepted job got a conclusive
+    /// response, in ms.
     pub fn longest_ms(&self, job: &str) -> u64 {
         self.jobs.get(job).map_or(0, |asked| asked.longest_ms)
     }
 }
 
-/// Does this status say something of the job?
+/// Whether this status is conclusive about the job.
 fn is_answer(ask: Ask, status: u16) -> bool {
     match ask {
         Ask::Submit => matches!(status, 200 | 201 | 400 | 422),
--- a/crates/checker/src/waiting.rs
+++ b/crates/checker/src/waiting.rs
@@ -1,5 +1,5 @@
-//! Jobs that are left waiting: a machine that fits has had room, and the team has been under
-//! its limit by a task's size, for all the time in which no task of the job was started.
+//! Finds jobs that are left waiting: a suitable machine has had capacity, and the team has been
+//! under its limit by the size of a task, for all the time in which no task of the job started.
 
 use crate::breach::{Breach, Rule};
 use crate::calm::Calm;
@@ -7,16 +7,16 @@
 use crate::room::{Rooms, Size};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// ms that a job may wait beside room.
+/// Time from which a wait although there is capacity is too long, in ms.
 pub const LEFT_WAITING_MS: u64 = 90_000;
-/// ms between two looks at all jobs that wait.
+/// Time between two scans of all waiting jobs, in ms.
 const LOOK_MS: u64 = 2_000;
 
-/// A wait beside room.
+/// A wait of a job although there was capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wait {
     pub job: String,
-    /// The machine that had room longest.
+    /// The machine that had capacity longest.
     pub machine: String,
     pub since_ms: u64,
     pub until_ms: u64,
@@ -32,37 +32,39 @@
 struct Open {
     job: Job,
     size: Size,
-    /// The number of its size.
+    /// The number of its size in `rooms`.
     number: usize,
     accepted: bool,
-    /// Its user wants it: it was neither called off nor told cancelled.
+    /// Whether the user still wants the job: no cancellation was requested or reported.
     wanted: bool,
-    /// Since when it waits without a start; reset by each.
+    /// Time since which the job waits without a start, in ms; reset by each start.
     since_ms: u64,
-    /// Tasks taken by machines, with the machine.
+    /// Tasks accepted by machines, with the machine.
     placed: BTreeMap<String, String>,
     done: BTreeSet<String>,
 }
 
-/// What a job asks of machines: number of its size, types, zone, and whether spot will do.
+/// Requirements of a job on a machine: number of its size, machine types, zone, and whether
+/// spot machines are allowed.
 type Needs<'a> = (usize, &'a Option<Vec<String>>, &'a Option<String>, bool);
-/// Of one look at all jobs: the machine that has had room longest for each need, and since when.
+/// Cache of one scan: for each set of requirements, the machine that has had capacity longest,
+/// and since when.
 type Machines<'a> = BTreeMap<Needs<'a>, Option<(u64, &'a str)>>;
 
-/// Watches all accepted jobs.
+/// Tracks the waits of all accepted jobs.
 #[derive(Debug, Default)]
 pub struct Waiting {
     rooms: Rooms,
     open: BTreeMap<String, Open>,
     /// Jobs of which all tasks are done.
     finished: BTreeSet<String>,
-    /// Jobs with tasks that failed: they are tried again ever more seldom.
+    /// Jobs with failed tasks, which are retried with growing delays: their waits do not count.
     failing: BTreeSet<String>,
     calm: Calm,
     looked_ms: u64,
-    /// The longest wait of each job since the last trouble.
+    /// The longest wait of each job since the last fault.
     now: BTreeMap<String, Wait>,
-    /// The longest wait of each job in earlier times without trouble.
+    /// The longest wait of each job in earlier quiet periods.
     before: BTreeMap<String, Wait>,
 }
 
@@ -81,7 +83,7 @@
             What::Told {
                 job, status, state, ..
             } => self.told(job, *status, *state, at_ms),
-            // What nobody wants any more may wait for ever.
+            // A job that its user no longer wants may wait indefinitely.
             What::Unwanted { job } => {
                 if let Some(open) = self.open.get_mut(job) {
                     open.wanted = false;
@@ -159,7 +161,7 @@
         };
         if open.placed.get(task).is_some_and(|m| m == machine) {
             open.placed.remove(task);
-            // A task that lost its place waits from now on.
+            // A task that lost its placement waits from now on.
             open.since_ms = at_ms;
             let team = open.job.team.clone();
             self.rooms.use_limit(&team, open.size, -1.0, at_ms);
@@ -185,21 +187,21 @@
         }
     }
 
-    /// All tasks of a machine end at once.
+    /// Releases all tasks of a machine.
     fn empties(&mut self, machine: &str, at_ms: u64) {
         for task in self.rooms.tasks(machine) {
             self.given(machine, &task, at_ms);
         }
     }
 
-    /// What was seen until now is of an earlier time without trouble.
+    /// Moves the waits found until now to those of earlier quiet periods.
     fn trouble_begins(&mut self) {
         for (job, wait) in std::mem::take(&mut self.now) {
             keep_longer(&mut self.before, job, wait);
         }
     }
 
-    /// Measures the wait of each job beside room, as of now.
+    /// Measures the wait of each job for which there is capacity, as of now.
     fn look(&mut self, at_ms: u64) {
         self.looked_ms = at_ms;
         let Some(calm_since_ms) = self.calm.since_ms() else {
@@ -224,7 +226,7 @@
         }
     }
 
-    /// Since when the job has waited beside room, and on which machine.
+    /// Returns since when the job has waited although there was capacity, and on which machine.
     fn beside_room<'a>(
         &'a self,
         open: &'a Open,
@@ -248,7 +250,7 @@
             let needs = (open.number, &job.kinds, &job.zone, job.spot);
             (*machines.entry(needs).or_insert_with(look))?
         };
-        // When the last task of the last of them gave its place back.
+        // The time at which the last task of the last job that it needs ended.
         let ready_ms = job
             .needs
             .iter()
@@ -257,7 +259,8 @@
         Some((since_ms.max(ready_ms.max().unwrap_or(0)), machine))
     }
 
-    /// The only zone, and the zones that have all that they may, given where its tasks are.
+    /// Returns the only zone that the job may use, if it is bound to one, and the zones that
+    /// already have as many of its tasks as allowed, given where its tasks are.
     fn zones(&self, open: &Open) -> (Option<&str>, BTreeSet<&str>) {
         let zones = || {
             open.placed
@@ -277,7 +280,8 @@
         (only, full)
     }
 
-    /// ms of the longest wait of a job beside room while no trouble ran.
+    /// Returns the longest wait of a job although there was capacity while no fault was active,
+    /// in ms.
     pub fn longest_ms(&self, job: &str) -> u64 {
         let waits = [self.now.get(job), self.before.get(job)];
         waits
@@ -288,13 +292,14 @@
             .unwrap_or(0)
     }
 
-    /// Waits that were too long before the last trouble: told, but no breach.
+    /// Returns waits before the last fault that were too long; reported, but no violations.
     pub fn earlier(&self) -> Vec<Wait> {
         let too_long = |wait: &&Wait| wait.length_ms() >= LEFT_WAITING_MS;
         self.before.values().filter(too_long).cloned().collect()
     }
 
-    /// At the end: the jobs that were left waiting once all troubles were over.
+    /// Returns a violation for each job left waiting once all faults were over; for use at the
+    /// end.
     pub fn breaches(&self) -> Vec<Breach> {
         let too_long = |wait: &&Wait| wait.length_ms() >= LEFT_WAITING_MS;
         let breach = |wait: &Wait| Breach {
@@ -303,7 +308,8 @@
             place: wait.machine.clone(),
             since_ms: wait.since_ms,
             at_ms: wait.until_ms,
-            why: "left waiting, with room there and its team under its limit, since".into(),
+            why: "left waiting with capacity there and its team under its limit; the wait began"
+                .into(),
         };
         self.now.values().filter(too_long).map(breach).collect()
     }
--- a/crates/checker/tests/checker.rs
+++ b/crates/checker/tests/checker.rs
@@ -1,5 +1,5 @@
-//! A checker that can't find a breach proves nothing: each rule is broken once by
-//! a written history, and the checker must name rule, job, machine and both times.
+//! Tests that the checker detects violations: each rule is broken once by a written history,
+//! and the checker must name the rule, job, machine and both times.
 
 use cherrywood_checker::history::{Aim, Ask, Facts, Job, MachineType, Off, Served, State, Team};
 use cherrywood_checker::settle::{self, End};
@@ -57,7 +57,7 @@
     }
 }
 
-/// A history under construction.
+/// A history under construction, with the current time in ms.
 struct Scenario(History, u64);
 
 impl Scenario {
@@ -104,7 +104,7 @@
         self.add(What::Submitted { job })
     }
 
-    /// Told this much later than asked.
+    /// Adds a response received 100 ms after its request was sent.
     fn told(&mut self, ask: Ask, job: &str, status: u16, state: Option<State>) -> &mut Scenario {
         let sent_ms = self.1.saturating_sub(100);
         self.add(What::Told {
@@ -145,7 +145,7 @@
         self.told(Ask::Poll, job, 200, Some(state))
     }
 
-    /// The only breach, as its message.
+    /// Asserts that there is exactly one violation, of this rule, and returns its message.
     fn only(&mut self, rule: Rule) -> String {
         self.add(What::Ends);
         let checker = Checker::of(&self.0.events);
@@ -177,7 +177,7 @@
     for part in ["ran_twice", "wk-000001/0", "vm-2 at 8.000", "vm-1", "5.000"] {
         assert!(told.contains(part), "{told}");
     }
-    // After it is off, another machine may have it.
+    // Once the task is off the machine, another one may start it.
     let mut n = Scenario::new();
     n.at(1).accepted(job("wk-000001", 2));
     n.at(5).on("vm-1", "wk-000001/0");
@@ -200,7 +200,7 @@
     for part in ["wk-000001/3", "vm-2 at 7.000", "8 of 6", "6.000"] {
         assert!(told.contains(part), "{told}");
     }
-    // A guest has no limit.
+    // The team `guest` has no limit.
     let mut n = Scenario::new();
     let guest = Job {
         team: "guest".into(),
@@ -234,7 +234,7 @@
         told.contains("vm-2 at 6.000") && told.contains("at 4.000"),
         "{told}"
     );
-    // 2 of 3 may be in one zone, not 3.
+    // At most 2 of 3 tasks may be in one zone.
     let mut n = with(&|j| j.spread = true);
     n.at(6).on("vm-1", "wk-000001/1");
     n.at(7).on("vm-1", "wk-000001/2").only(Rule::WrongPlace);
@@ -259,7 +259,7 @@
         .add(What::Ends);
     assert!(
         Checker::of(&n.0.events).breaches.is_empty(),
-        "at 40 s it is gone"
+        "the task is gone 40 s after the response"
     );
     let mut n = cancelled();
     n.at(52).off("vm-1", "wk-000001/0", Off::Stopped, 0.0);
@@ -297,7 +297,8 @@
     n.at(2).on("vm-1", "wk-000001/0");
     n.at(9).told(Ask::Submit, "wk-000001", 422, None);
     n.only(Rule::Forgotten);
-    // Silence for 90 s counts while most others are answered, and not else, also in trouble.
+    // Failing status queries for 90 s count if and only if most others succeed, also while a
+    // fault is active.
     for others in [true, false] {
         let mut n = Scenario::new();
         n.at(1).add(What::Trouble {
@@ -361,7 +362,7 @@
         .poll("wk-000001", State::Running)
         .only(Rule::WentBack);
     assert!(told.contains("9.000") && told.contains("4.000"), "{told}");
-    // Asked before the user was told: it may have crossed.
+    // Sent before the user was told of the end: the older state is no violation.
     let mut n = done();
     n.add(What::Told {
         ask: Ask::Poll,
@@ -448,7 +449,7 @@
     n.at(2)
         .told(Ask::Submit, "wk-000001", 201, Some(State::Queued));
     n.at(4).on("vm-1", "wk-000001/0").on("vm-1", "wk-000001/1");
-    // Stopped soon after: that start doesn't count, the next one does.
+    // Stopped within 30 s: that start does not count, the next one does.
     n.at(8).add(What::Stops {
         machine: "vm-1".into(),
         task: "wk-000001/1".into(),
@@ -458,7 +459,7 @@
     n.at(14).off("vm-1", "wk-000001/0", Off::Done, 10.0);
     n.at(20).off("vm-1", "wk-000001/1", Off::Done, 10.0);
     n.at(21).poll("wk-000001", State::Done);
-    // 3,600 s of 4 CPUs at 0.9 an hour, 40 CPU-seconds of it useful.
+    // 3,600 s of 4 CPUs at 0.9 per hour, with 40 useful CPU-seconds.
     n.at(3600).add(What::Gone {
         machine: "vm-1".into(),
         why: "returned".into(),
@@ -468,7 +469,7 @@
     let got: Vec<(f64, bool)> = a.reached.iter().map(|r| (r.got, r.met)).collect();
     assert_eq!(got[0], (0.5, true), "one of two tasks within 5 s");
     assert_eq!(got[1], (1.0, true));
-    assert_eq!(got[2], (0.0, false), "told after 2 s");
+    assert_eq!(got[2], (0.0, false), "accepted after 2 s");
     assert!((a.useful_cpu_s - 40.0).abs() < 1e-9);
     assert!((got[3].0 - 40.0 / 14_400.0).abs() < 1e-9 && !got[3].1);
     assert!((a.price - 0.9 / (40.0 * 0.225 / 3600.0)).abs() < 1e-6);
@@ -495,8 +496,8 @@
     assert!(err.contains("line 1"), "{err}");
 }
 
-/// Two classes want ten jobs each of 10 CPU seconds; one gets `first`, the other
-/// `second` of them in time, and the rest late or never.
+/// Two classes with ten jobs each, of 10 CPU seconds. `first` jobs of one class and `second` of
+/// the other are done in time, and the rest late or never.
 fn served(first: u32, second: u32, asked: Option<Served>) -> Scenario {
     let mut n = Scenario::new();
     if let What::Begins { facts, .. } = &mut n.0.events[0].what {
@@ -520,7 +521,7 @@
             }
         }
     }
-    // Cancelled by its user: nobody waits for it.
+    // A job that its user cancels does not count.
     n.at(2).submit(Job {
         class: "poor".into(),
         ..job("wk-999999", 1)
@@ -556,14 +557,15 @@
         assert!(told[0].contains(part), "{told:?}");
     }
     assert!(told[1].contains("team team-poor"), "{told:?}");
-    // Enough, or nobody had enough, or nobody asks.
+    // No starvation: the share is reached, the others have too little to spare, or the scenario
+    // asks for no share.
     assert!(starved(served(9, 5, asked)).is_empty());
     assert!(
         starved(served(6, 2, asked)).is_empty(),
-        "10 CPU s of the 30 it lacks"
+        "10 CPU s to spare of the 30 that it lacks"
     );
     assert!(starved(served(9, 2, None)).is_empty());
-    // Whose time isn't over yet doesn't count.
+    // Jobs whose time is not over yet do not count.
     let soon = Served {
         within_s: 700.0,
         ..half
@@ -602,8 +604,9 @@
     assert!(Checker::of(&n.0.events).breaches.is_empty());
 }
 
-/// Told cancelled at 10 s, with 20 s to be gone: what is after it, directly or not, may be
-/// called queued until then, and cancelled although its own user never asked.
+/// A user is told at 10 s that the job is cancelled. Until `cancel_s` later, jobs that need it,
+/// directly or not, may be reported as queued; they may be reported as cancelled although their
+/// own users never requested it.
 #[test]
 fn orphaned_counts_from_when_a_job_before_it_was_told_cancelled() {
     let scenario = || {
@@ -635,8 +638,8 @@
     );
 }
 
-/// Twenty jobs of a class, of which the two large ones are done late: the class has 0.9 of
-/// its jobs, and its largest tenth nothing; nor did they begin in time.
+/// Of twenty jobs of a class, the two large ones are done late: the class has 0.9 of its jobs
+/// done, but its largest tenth none, and these did not start in time either.
 #[test]
 fn the_largest_jobs_of_a_class_starve_by_themselves() {
     let asked = Served {
@@ -660,7 +663,7 @@
             n.at(at + takes).off("vm-1", &task, Off::Done, 100.0);
         }
     }
-    // Others had far more than their part.
+    // Another class got far more than its part.
     for i in 100..120 {
         let id = format!("wk-{i:06}");
         let rich = Job {
--- a/crates/checker/tests/troubles.rs
+++ b/crates/checker/tests/troubles.rs
@@ -1,5 +1,6 @@
-//! Checks that need more of a history than one answer: waits beside room, starts after a
-//! cancellation, impossible jobs, older answers, silence, and failed days.
+//! Tests of checks that span several events: waits although there is capacity, starts after a
+//! cancellation, infeasible jobs, outdated responses, requests without a response, and failed
+//! days.
 
 use cherrywood_checker::history::{Ask, Facts, Job, MachineType, Off, State, Team};
 use cherrywood_checker::{Breach, Checker, Failure, History, Rule, What};
@@ -48,7 +49,7 @@
     }
 }
 
-/// A history under construction, and its time in s.
+/// A history under construction, with the current time in s.
 struct Script {
     history: History,
     at_s: u64,
@@ -99,7 +100,7 @@
         })
     }
 
-    /// Asked so many s before it is told.
+    /// Adds a response received `after_s` seconds after its request was sent.
     fn told(
         &mut self,
         ask: Ask,
@@ -173,7 +174,7 @@
         self.checked().breaches
     }
 
-    /// The only breach.
+    /// Asserts that there is exactly one violation, of this rule, and returns it.
     fn only(&mut self, rule: Rule) -> Breach {
         let breaches = self.breaches();
         let rules: Vec<Rule> = breaches.iter().map(|b| b.rule).collect();
@@ -187,7 +188,8 @@
     }
 }
 
-/// A task runs all the time, so that something was started.
+/// A cluster of one machine of 4 CPUs, on which a task of another job runs all the time, so that
+/// the rule `nothing_ran` holds.
 fn beside(other_cpus: f64) -> Script {
     let mut script = Script::new();
     script.machine("vm-1", "a");
@@ -218,10 +220,10 @@
 
 #[test]
 fn only_room_that_lasts_on_a_machine_that_fits_counts() {
-    // Too little room.
+    // Too little capacity.
     let mut script = beside(3.0);
     script.at(10).accepted(job("wk-000001", 1)).at(300).none();
-    // Memory that is taken, or a zone and a kind that its job doesn't allow.
+    // Memory that is in use, or a zone that the job does not allow.
     let wants = [
         Job {
             ram_gb: 13.0,
@@ -236,13 +238,13 @@
         let mut script = beside(2.0);
         script.at(10).accepted(wanted).at(300).none();
     }
-    // A machine that was given notice.
+    // A machine with a spot notice.
     let mut script = beside(2.0);
     script.at(10).add(What::Notice {
         machine: "vm-1".into(),
     });
     script.accepted(job("wk-000001", 1)).at(300).none();
-    // Room that a task took for a moment, fetching its image.
+    // Capacity that another task used for a moment while it fetched its image.
     let mut script = beside(2.0);
     script.at(10).accepted(job("wk-000001", 1));
     let other = Job {
@@ -274,14 +276,14 @@
     script.off("vm-1", "wk-000001/0", Off::Done);
     let breach = script.at(391).only(Rule::LeftWaiting);
     assert_eq!(breach.since_ms, 300_000);
-    // Nobody wants it any more.
+    // The user no longer wants the job.
     let mut script = beside(2.0);
     script.at(10).accepted(job("wk-000001", 1));
     script.add(What::Unwanted {
         job: "wk-000001".into(),
     });
     script.at(300).none();
-    // It waits for another.
+    // The job needs another one.
     let mut script = beside(2.0);
     let after = Job {
         needs: vec!["wk-000009".into()],
@@ -300,7 +302,7 @@
     let checker = script.at(200).checked();
     assert!(checker.breaches.is_empty(), "{:?}", checker.breaches);
     assert_eq!(checker.earlier_waits()[0].job, "wk-000001");
-    // Once it is over the time counts anew.
+    // Once the fault is over, the time starts again.
     let breach = script.at(221).only(Rule::LeftWaiting);
     assert_eq!(breach.since_ms, 130_000);
 }
@@ -322,7 +324,7 @@
 
 #[test]
 fn starts_after_a_confirmed_cancellation_are_counted_and_unexplained_ones_named() {
-    // On its way when the user was told.
+    // The command was in flight when the user was told.
     let mut script = beside(1.0);
     script
         .at(10)
@@ -337,7 +339,7 @@
     let checker = script.checked();
     assert!(checker.breaches.is_empty(), "{:?}", checker.breaches);
     assert_eq!(checker.starts_after_cancel(), 1);
-    // Nothing held this one up.
+    // Nothing delayed the command.
     let mut script = beside(1.0);
     script
         .at(10)
@@ -350,7 +352,7 @@
         (breach.what.as_str(), breach.since_ms),
         ("wk-000001/0", 12_000)
     );
-    // A trouble may have.
+    // A fault may have delayed it.
     let mut script = beside(1.0);
     script
         .at(10)
@@ -387,7 +389,7 @@
         (breach.what.as_str(), breach.since_ms),
         ("wk-000001/0", 21_000)
     );
-    // So does one that comes back when it resumes.
+    // So does a task that starts again after the machine has resumed.
     let mut script = hung(60);
     script.at(70).on("vm-1", "wk-000001/0");
     script.only(Rule::RanCancelled);
@@ -418,7 +420,7 @@
             gpus: 1.0,
             ..plain()
         },
-        // All of its replicas at once.
+        // All tasks of a standing job must fit the limit at once.
         Job {
             standing: true,
             ..plain()
@@ -441,7 +443,7 @@
     });
     let breach = script.accepted(plain()).only(Rule::AcceptedImpossible);
     assert!(breach.why.contains("lacks crew"), "{breach}");
-    // Also if it stands in the history as no job.
+    // Also if the history has no submission of the job.
     let mut script = beside(4.0);
     script.at(10).add(What::LacksField {
         job: "wk-000001".into(),
@@ -450,11 +452,12 @@
     let told = Some(State::Queued);
     script.told(Ask::Submit, "wk-000001", 0, 201, told);
     script.only(Rule::AcceptedImpossible);
-    // An array needs room for one task at a time only.
+    // An array needs capacity for one task at a time only.
     beside(4.0).at(10).accepted(plain()).none();
 }
 
-/// Each answer to a question sent after an earlier answer was received is older than that.
+/// Each contradicting response is to a request that was sent once the earlier response had
+/// been received.
 #[test]
 fn no_node_may_answer_older_than_the_user_was_told() {
     let begun = || {
@@ -473,7 +476,7 @@
             .at(10)
             .told(ask, "wk-000001", 0, status, None)
             .only(Rule::Forgotten);
-        // Sent before it was accepted, and answered late.
+        // Sent before the job was accepted, with a late response.
         let mut script = begun();
         script.at(11).told(ask, "wk-000001", 2, status, None).none();
     }
@@ -509,7 +512,7 @@
         script.at(trouble_until_s).trouble(false);
         let from_s = trouble_until_s.max(15);
         for s in (from_s..=until_s).step_by(5) {
-            // Nobody else hears anything either.
+            // Requests about the other job fail too.
             script.at(s).told(Ask::Poll, "wk-000001", 2, 503, None);
             script.told(Ask::Poll, "wk-000009", 2, 0, None);
         }
@@ -525,17 +528,17 @@
             (Rule::Forgotten, "wk-000009")
         ]
     );
-    // Counted from when the trouble was over.
+    // The time counts from the end of the fault.
     silent(90, 30).none();
-    // One answer is enough.
+    // One response is enough.
     let mut script = silent(80, 11);
     script.poll("wk-000001", 2, State::Queued);
     script.poll("wk-000009", 2, State::Running).at(100);
     script.told(Ask::Poll, "wk-000001", 2, 503, None).none();
 }
 
-/// So many jobs of ten, each of more tasks than the one before, begin and end at once; the
-/// others are never done.
+/// Ten jobs, each of more tasks than the one before. The first `done` of them start and end at
+/// once, the largest at `largest_begins_s`; the others are never done.
 fn served(done: u32, largest_begins_s: u64) -> Checker {
     let mut script = Script::new();
     script.machine("vm-1", "a");
@@ -576,13 +579,13 @@
     assert!(few.contains(&group("class c", 4, 10)), "{few:?}");
     assert!(few.contains(&group("team free", 4, 10)), "{few:?}");
     assert!(few.contains(&group("the largest of c", 0, 1)), "{few:?}");
-    // Half is enough of the class and the team, not of the largest.
+    // Half of the class and of the team is enough, but none of the largest are done.
     let half = served(5, 0).failures;
     assert!(half.contains(&group("the largest of c", 0, 1)), "{half:?}");
     assert!(!half.contains(&group("class c", 5, 10)), "{half:?}");
 }
 
-/// Its user may give up before any controller could refuse it (an outage answers 503).
+/// The user may give up before any controller could refuse the job: in an outage all respond 503.
 #[test]
 fn jobs_that_can_never_run_are_wanted_by_nobody() {
     let mut script = Script::new();
