--- a/crates/checker/src/aims.rs
+++ b/crates/checker/src/aims.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// Time within which a command to stop makes a start not count, in ms.
-const START_HOLDS_MS: u64 = 30_000;
+const START_CONFIRMED_MS: u64 = 30_000;
 
 /// Figures of one class of jobs.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -23,7 +23,7 @@
 
 /// An objective, the value reached, and whether it is met.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reached {
+pub struct ObjectiveResult {
     pub aim: Aim,
     pub got: f64,
     pub met: bool,
@@ -33,7 +33,7 @@
 
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Aims {
-    pub reached: Vec<Reached>,
+    pub reached: Vec<ObjectiveResult>,
     pub classes: BTreeMap<String, ClassFigures>,
     /// Figures of all classes together.
     pub all: ClassFigures,
@@ -45,39 +45,39 @@
 }
 
 #[derive(Debug)]
-struct Tracked {
+struct TrackedJob {
     job: Job,
     /// Time at which the job could start: submitted, and all jobs that it needs done.
-    at: u64,
+    ready_ms: u64,
     submitted: u64,
     accepted: Option<u64>,
     refused: bool,
     unwanted: bool,
-    told_done: Option<u64>,
+    reported_done: Option<u64>,
     /// Time of the first start of each task that counts.
     started: BTreeMap<u32, u64>,
     /// Times of starts that a stop may still make not count.
-    fresh: BTreeMap<u32, u64>,
+    unconfirmed: BTreeMap<u32, u64>,
     done: BTreeMap<u32, u64>,
     guaranteed: bool,
 }
 
-impl Tracked {
+impl TrackedJob {
     fn last_done(&self) -> Option<u64> {
         (self.done.len() as u32 == self.job.tasks)
             .then(|| self.done.values().max().copied())
             .flatten()
     }
 
-    fn settle(&mut self, now: u64) {
-        let held: Vec<u32> = self
-            .fresh
+    fn confirm_starts(&mut self, now: u64) {
+        let confirmed: Vec<u32> = self
+            .unconfirmed
             .iter()
-            .filter(|(_, at)| now >= **at + START_HOLDS_MS)
+            .filter(|(_, at)| now >= **at + START_CONFIRMED_MS)
             .map(|(n, _)| *n)
             .collect();
-        for n in held {
-            if let Some(at) = self.fresh.remove(&n) {
+        for n in confirmed {
+            if let Some(at) = self.unconfirmed.remove(&n) {
                 self.started.entry(n).or_insert(at);
             }
         }
@@ -123,7 +123,7 @@
         aims: Vec::new(),
         served: None,
     };
-    let mut jobs: BTreeMap<String, Tracked> = BTreeMap::new();
+    let mut jobs: BTreeMap<String, TrackedJob> = BTreeMap::new();
     let mut machines: BTreeMap<String, Machine> = BTreeMap::new();
     let mut aims = Aims::default();
     for e in events {
@@ -132,16 +132,16 @@
             What::Begins { facts: f, .. } => facts = f.clone(),
             What::Submitted { job } => {
                 let guaranteed = fits_guarantee(&facts, &jobs, job);
-                let t = Tracked {
+                let t = TrackedJob {
                     job: job.clone(),
-                    at,
+                    ready_ms: at,
                     submitted: at,
                     accepted: None,
                     refused: false,
                     unwanted: false,
-                    told_done: None,
+                    reported_done: None,
                     started: BTreeMap::new(),
-                    fresh: BTreeMap::new(),
+                    unconfirmed: BTreeMap::new(),
                     done: BTreeMap::new(),
                     guaranteed,
                 };
@@ -159,7 +159,7 @@
                     _ => {}
                 }
                 if *state == Some(State::Done) {
-                    t.told_done.get_or_insert(at);
+                    t.reported_done.get_or_insert(at);
                 }
             }
             What::Unwanted { job } => {
@@ -186,14 +186,14 @@
                 }
             }
             What::On { task, .. } => {
-                if let Some((t, n)) = find(&mut jobs, task) {
-                    t.fresh.insert(n, at);
+                if let Some((t, n)) = find_task(&mut jobs, task) {
+                    t.unconfirmed.insert(n, at);
                 }
             }
             What::Stops { task, .. } => {
-                if let Some((t, n)) = find(&mut jobs, task) {
-                    t.settle(at);
-                    t.fresh.remove(&n);
+                if let Some((t, n)) = find_task(&mut jobs, task) {
+                    t.confirm_starts(at);
+                    t.unconfirmed.remove(&n);
                 }
             }
             What::Off {
@@ -203,7 +203,7 @@
                 kept_s,
                 ..
             } => {
-                if let Some((t, n)) = find(&mut jobs, task) {
+                if let Some((t, n)) = find_task(&mut jobs, task) {
                     let cpus = t.job.cpus;
                     if *why == Off::Done {
                         t.done.entry(n).or_insert(at);
@@ -217,7 +217,7 @@
         }
     }
     for t in jobs.values_mut() {
-        t.settle(u64::MAX);
+        t.confirm_starts(u64::MAX);
     }
     let cheapest = facts
         .kinds
@@ -226,50 +226,53 @@
         .fold(f64::INFINITY, f64::min);
     let worth = aims.useful_cpu_s * cheapest / 3600.0;
     aims.price = if worth > 0.0 { aims.cost / worth } else { 0.0 };
-    wait_counts_from_ready(&mut jobs);
+    set_ready_times(&mut jobs);
     aims.classes = classes(&jobs);
     aims.all = figures(jobs.values().filter(|t| !t.unwanted && !t.refused));
     aims.reached = facts
         .aims
         .iter()
-        .map(|aim| reach(aim, &jobs, &facts, &aims))
+        .map(|aim| evaluate(aim, &jobs, &facts, &aims))
         .collect();
     aims
 }
 
-fn find<'a>(jobs: &'a mut BTreeMap<String, Tracked>, task: &str) -> Option<(&'a mut Tracked, u32)> {
+fn find_task<'a>(
+    jobs: &'a mut BTreeMap<String, TrackedJob>,
+    task: &str,
+) -> Option<(&'a mut TrackedJob, u32)> {
     let n = task.split_once('/')?.1.parse().ok()?;
     Some((jobs.get_mut(job_of(task))?, n))
 }
 
 /// Counts the times of a job that needs others from when the last of them was done. A job that
 /// could never start because one of them was not done counts as unwanted.
-fn wait_counts_from_ready(jobs: &mut BTreeMap<String, Tracked>) {
+fn set_ready_times(jobs: &mut BTreeMap<String, TrackedJob>) {
     let done = |id: &String| jobs.get(id)?.last_done();
     let ready: Vec<(String, Option<u64>)> = jobs
         .iter()
         .filter(|(_, t)| !t.job.needs.is_empty())
         .map(|(id, t)| {
             let ends: Option<Vec<u64>> = t.job.needs.iter().map(done).collect();
-            let last = ends.map(|e| e.into_iter().fold(t.at, u64::max));
+            let last = ends.map(|e| e.into_iter().fold(t.ready_ms, u64::max));
             (id.clone(), last)
         })
         .collect();
     for (id, at) in ready {
         if let Some(t) = jobs.get_mut(&id) {
             t.unwanted |= at.is_none();
-            t.at = at.unwrap_or(t.at);
+            t.ready_ms = at.unwrap_or(t.ready_ms);
         }
     }
 }
 
 /// Whether the job fits the guarantee of its team together with the earlier unfinished jobs of
 /// the team.
-fn fits_guarantee(facts: &Facts, jobs: &BTreeMap<String, Tracked>, job: &Job) -> bool {
+fn fits_guarantee(facts: &Facts, jobs: &BTreeMap<String, TrackedJob>, job: &Job) -> bool {
     let Some(team) = facts.teams.iter().find(|t| t.name == job.team) else {
         return false;
     };
-    let left = |t: &Tracked| {
+    let left = |t: &TrackedJob| {
         let over = t.unwanted || t.refused;
         f64::from(
             t.job.tasks
@@ -287,14 +290,14 @@
 
 /// Returns the jobs that count for the class: neither unwanted nor refused.
 fn counted<'a>(
-    jobs: &'a BTreeMap<String, Tracked>,
+    jobs: &'a BTreeMap<String, TrackedJob>,
     class: &'a str,
-) -> impl Iterator<Item = &'a Tracked> {
-    let of = move |t: &&Tracked| t.job.class == class && !t.unwanted && !t.refused;
+) -> impl Iterator<Item = &'a TrackedJob> {
+    let of = move |t: &&TrackedJob| t.job.class == class && !t.unwanted && !t.refused;
     jobs.values().filter(of)
 }
 
-fn classes(jobs: &BTreeMap<String, Tracked>) -> BTreeMap<String, ClassFigures> {
+fn classes(jobs: &BTreeMap<String, TrackedJob>) -> BTreeMap<String, ClassFigures> {
     let mut names: Vec<&str> = jobs.values().map(|t| t.job.class.as_str()).collect();
     names.sort_unstable();
     names.dedup();
@@ -302,14 +305,17 @@
     names.into_iter().map(|n| (n.to_string(), of(n))).collect()
 }
 
-fn figures<'a>(jobs: impl Iterator<Item = &'a Tracked>) -> ClassFigures {
+fn figures<'a>(jobs: impl Iterator<Item = &'a TrackedJob>) -> ClassFigures {
     let (mut done, mut waits, mut all) = (Vec::new(), Vec::new(), 0);
     for t in jobs {
         all += 1;
         if let Some(at) = t.last_done() {
-            done.push((at - t.at) as f64 / 1000.0);
+            done.push((at - t.ready_ms) as f64 / 1000.0);
         }
-        let wait = t.started.values().map(|at| (at - t.at) as f64 / 1000.0);
+        let wait = t
+            .started
+            .values()
+            .map(|at| (at - t.ready_ms) as f64 / 1000.0);
         waits.extend(wait);
     }
     done.sort_by(f64::total_cmp);
@@ -324,18 +330,23 @@
     }
 }
 
-fn reach(aim: &Aim, jobs: &BTreeMap<String, Tracked>, facts: &Facts, sums: &Aims) -> Reached {
+fn evaluate(
+    aim: &Aim,
+    jobs: &BTreeMap<String, TrackedJob>,
+    facts: &Facts,
+    sums: &Aims,
+) -> ObjectiveResult {
     let ms = |s: f64| (s * 1000.0) as u64;
     // Of each job, only as many tasks count as the limit of its team allows at once.
-    let counts = |t: &Tracked| {
+    let counts = |t: &TrackedJob| {
         let limit = facts.teams.iter().find(|x| x.name == t.job.team);
         let limit = limit.map(|x| x.cpus_max).filter(|most| *most > 0.0);
         let limit = limit.unwrap_or(f64::INFINITY);
         let at_once = (limit / t.job.cpus.max(0.001)).floor();
         f64::from(t.job.tasks).min(at_once) as usize
     };
-    let in_time = |t: &Tracked, within: u64| {
-        let hits = t.started.values().filter(|at| **at - t.at <= within);
+    let in_time = |t: &TrackedJob, within: u64| {
+        let hits = t.started.values().filter(|at| **at - t.ready_ms <= within);
         hits.count().min(counts(t))
     };
     let (got, of) = match aim {
@@ -353,9 +364,9 @@
         } => {
             let of = counted(jobs, class).count();
             // A job counts as done only if its user was told so as well.
-            let hit = |t: &&Tracked| {
+            let hit = |t: &&TrackedJob| {
                 let last = t.last_done();
-                last.is_some_and(|at| at - t.at <= ms(*within_s)) && t.told_done.is_some()
+                last.is_some_and(|at| at - t.ready_ms <= ms(*within_s)) && t.reported_done.is_some()
             };
             (share(counted(jobs, class).filter(hit).count(), of), of)
         }
@@ -370,7 +381,7 @@
         }
         Aim::Submit { within_s, .. } => {
             let all = || jobs.values().filter(|t| !t.refused);
-            let hit = |t: &&Tracked| {
+            let hit = |t: &&TrackedJob| {
                 t.accepted
                     .is_some_and(|at| at - t.submitted <= ms(*within_s))
             };
@@ -397,7 +408,7 @@
         | Aim::Useful { share } => got >= *share,
         Aim::Price { most } => got <= *most,
     };
-    Reached {
+    ObjectiveResult {
         aim: aim.clone(),
         got,
         met,
--- a/crates/checker/src/room.rs
+++ b/crates/checker/src/capacity.rs
@@ -25,10 +25,10 @@
         }
     }
 
-    fn fits_in(self, room: Size) -> bool {
-        self.cpus <= room.cpus + ROUNDING
-            && self.gpus <= room.gpus + ROUNDING
-            && self.ram_gb <= room.ram_gb + ROUNDING
+    fn fits_in(self, capacity: Size) -> bool {
+        self.cpus <= capacity.cpus + ROUNDING
+            && self.gpus <= capacity.gpus + ROUNDING
+            && self.ram_gb <= capacity.ram_gb + ROUNDING
     }
 
     fn add(&mut self, other: Size, times: f64) {
@@ -40,32 +40,32 @@
 
 /// Free capacity of a machine or under a team's limit, and since when each size has fitted in.
 #[derive(Debug)]
-struct Room {
-    left: Size,
+struct Capacity {
+    free: Size,
     /// Indexed by the number of the size.
     fits_since_ms: Vec<Option<u64>>,
 }
 
-impl Room {
-    fn new(left: Size, sizes: &[Size], at_ms: u64) -> Room {
-        let mut room = Room {
-            left,
+impl Capacity {
+    fn new(free: Size, sizes: &[Size], at_ms: u64) -> Capacity {
+        let mut capacity = Capacity {
+            free,
             fits_since_ms: Vec::new(),
         };
-        room.update(sizes, at_ms);
-        room
+        capacity.update(sizes, at_ms);
+        capacity
     }
 
     fn update(&mut self, sizes: &[Size], at_ms: u64) {
         self.fits_since_ms.resize(sizes.len(), None);
         for (size, since_ms) in sizes.iter().zip(&mut self.fits_since_ms) {
-            let fits = size.fits_in(self.left);
+            let fits = size.fits_in(self.free);
             *since_ms = fits.then(|| since_ms.unwrap_or(at_ms));
         }
     }
 
-    fn change(&mut self, size: Size, times: f64, sizes: &[Size], at_ms: u64) {
-        self.left.add(size, times);
+    fn adjust(&mut self, size: Size, times: f64, sizes: &[Size], at_ms: u64) {
+        self.free.add(size, times);
         self.update(sizes, at_ms);
     }
 }
@@ -77,7 +77,7 @@
     zone: String,
     spot: bool,
     /// `None` before the machine is up.
-    room: Option<Room>,
+    capacity: Option<Capacity>,
     /// Whether nothing should be started here: after a spot notice, or after a task failed.
     avoided: bool,
     tasks: BTreeMap<String, Size>,
@@ -85,16 +85,16 @@
 
 /// Free capacity of all machines and teams.
 #[derive(Debug, Default)]
-pub struct Rooms {
+pub struct FreeCapacity {
     kinds: BTreeMap<String, Size>,
     sizes: Vec<Size>,
     machines: BTreeMap<String, Machine>,
-    teams: BTreeMap<String, Room>,
+    teams: BTreeMap<String, Capacity>,
 }
 
-impl Rooms {
+impl FreeCapacity {
     /// Takes over the machine types and team limits of the deployment.
-    pub fn begin(&mut self, facts: &Facts) {
+    pub fn configure(&mut self, facts: &Facts) {
         let size = |kind: &MachineType| Size {
             cpus: kind.cpus,
             gpus: kind.gpus,
@@ -112,20 +112,23 @@
                 gpus: unlimited(team.gpus_max),
                 ram_gb: f64::INFINITY,
             };
-            let room = Room::new(limit, &self.sizes, 0);
-            self.teams.insert(team.name.clone(), room);
+            let capacity = Capacity::new(limit, &self.sizes, 0);
+            self.teams.insert(team.name.clone(), capacity);
         }
     }
 
     /// Returns the number of this size, registering it if it is new.
-    pub fn number(&mut self, size: Size, at_ms: u64) -> usize {
+    pub fn size_number(&mut self, size: Size, at_ms: u64) -> usize {
         if let Some(number) = self.sizes.iter().position(|s| *s == size) {
             return number;
         }
         self.sizes.push(size);
-        let machines = self.machines.values_mut().filter_map(|m| m.room.as_mut());
-        for room in machines.chain(self.teams.values_mut()) {
-            room.update(&self.sizes, at_ms);
+        let machines = self
+            .machines
+            .values_mut()
+            .filter_map(|m| m.capacity.as_mut());
+        for capacity in machines.chain(self.teams.values_mut()) {
+            capacity.update(&self.sizes, at_ms);
         }
         self.sizes.len() - 1
     }
@@ -135,7 +138,7 @@
             kind: kind.to_string(),
             zone: zone.to_string(),
             spot,
-            room: None,
+            capacity: None,
             avoided: false,
             tasks: BTreeMap::new(),
         };
@@ -147,7 +150,7 @@
             return;
         };
         if let Some(all) = self.kinds.get(&machine.kind) {
-            machine.room = Some(Room::new(*all, &self.sizes, at_ms));
+            machine.capacity = Some(Capacity::new(*all, &self.sizes, at_ms));
         }
     }
 
@@ -162,27 +165,27 @@
     }
 
     /// Allocates the capacity of a task on a machine, from the start command on.
-    pub fn take(&mut self, name: &str, task: &str, size: Size, at_ms: u64) {
+    pub fn allocate(&mut self, name: &str, task: &str, size: Size, at_ms: u64) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         if machine.tasks.insert(task.to_string(), size).is_none()
-            && let Some(room) = &mut machine.room
+            && let Some(capacity) = &mut machine.capacity
         {
-            room.change(size, -1.0, &self.sizes, at_ms);
+            capacity.adjust(size, -1.0, &self.sizes, at_ms);
         }
     }
 
     /// Releases the capacity of a task. Returns false if it had none.
-    pub fn give(&mut self, name: &str, task: &str, at_ms: u64) -> bool {
+    pub fn release(&mut self, name: &str, task: &str, at_ms: u64) -> bool {
         let Some(machine) = self.machines.get_mut(name) else {
             return false;
         };
         let Some(size) = machine.tasks.remove(task) else {
             return false;
         };
-        if let Some(room) = &mut machine.room {
-            room.change(size, 1.0, &self.sizes, at_ms);
+        if let Some(capacity) = &mut machine.capacity {
+            capacity.adjust(size, 1.0, &self.sizes, at_ms);
         }
         true
     }
@@ -194,20 +197,20 @@
     }
 
     /// Adds the size to the usage of a team (`times` 1), or subtracts it (-1).
-    pub fn use_limit(&mut self, team: &str, size: Size, times: f64, at_ms: u64) {
-        if let Some(room) = self.teams.get_mut(team) {
-            room.change(size, -times, &self.sizes, at_ms);
+    pub fn add_team_usage(&mut self, team: &str, size: Size, times: f64, at_ms: u64) {
+        if let Some(capacity) = self.teams.get_mut(team) {
+            capacity.adjust(size, -times, &self.sizes, at_ms);
         }
     }
 
     /// Returns the time since which the team has been under its limit by this size.
-    pub fn team_since_ms(&self, team: &str, number: usize) -> Option<u64> {
+    pub fn team_free_since_ms(&self, team: &str, number: usize) -> Option<u64> {
         self.teams.get(team)?.fits_since_ms[number]
     }
 
     /// Returns the earliest time since which a machine that the job allows, in a zone that the
     /// job may use now, has had capacity for a task, with the name of the machine.
-    pub fn machine_since_ms(
+    pub fn machine_free_since_ms(
         &self,
         job: &Job,
         number: usize,
@@ -223,7 +226,7 @@
         };
         let fitting = self.machines.iter().filter(|(_, m)| allowed(m));
         let since = fitting.filter_map(|(name, m)| {
-            let since_ms = m.room.as_ref()?.fits_since_ms[number]?;
+            let since_ms = m.capacity.as_ref()?.fits_since_ms[number]?;
             Some((since_ms, name.as_str()))
         });
         since.min()
--- a/crates/checker/src/groups.rs
+++ b/crates/checker/src/groups.rs
@@ -1,6 +1,6 @@
 //! Figures of each class and each team at the end of a scenario.
 
-use crate::starved::{Members, Share, Starved};
+use crate::starvation::{Members, Share, Starvation};
 use crate::unanswered::Unanswered;
 use crate::waiting::Waiting;
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
 
 /// Returns the figures of all classes, then of all teams.
 pub(crate) fn figures(
-    jobs: &Starved,
+    jobs: &Starvation,
     waiting: &Waiting,
     unanswered: &Unanswered,
 ) -> Vec<GroupFigures> {
@@ -67,8 +67,8 @@
             group.jobs += 1;
             let wait_s = seconds(waiting.longest_ms(&job.id));
             group.longest_wait_s = group.longest_wait_s.max(wait_s);
-            let silent_s = seconds(unanswered.longest_ms(&job.id));
-            group.longest_unanswered_s = group.longest_unanswered_s.max(silent_s);
+            let unanswered_s = seconds(unanswered.longest_ms(&job.id));
+            group.longest_unanswered_s = group.longest_unanswered_s.max(unanswered_s);
         }
     }
     groups.into_values().collect()
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -4,28 +4,28 @@
 //! not repeated here.
 
 pub mod aims;
-pub mod answers;
-pub mod breach;
-mod calm;
 mod cancelled;
+mod capacity;
 pub mod failed_day;
+mod feasibility;
 pub mod groups;
 pub mod history;
 mod placement;
-mod possible;
-mod room;
+mod quiet_periods;
+pub mod responses;
 pub mod rules;
 pub mod settle;
-pub mod starved;
+pub mod starvation;
 mod unanswered;
+pub mod violation;
 pub mod waiting;
 
 pub use aims::{Aims, ClassFigures};
-pub use breach::{Breach, Rule};
 pub use failed_day::Failure;
 pub use groups::GroupFigures;
 pub use history::{Event, History, What};
 pub use rules::Checker;
 pub use settle::{End, Settled};
-pub use starved::Least;
+pub use starvation::{Least, Share};
+pub use violation::{Breach, Rule};
 pub use waiting::Wait;
--- a/crates/checker/src/placement.rs
+++ b/crates/checker/src/placement.rs
@@ -1,8 +1,8 @@
 //! Checks whether a job allows a task on a machine, given the placement of its other tasks.
 
-use crate::answers::Contradiction;
-use crate::breach::Rule;
 use crate::history::Job;
+use crate::responses::Contradiction;
+use crate::violation::Rule;
 
 /// The properties of a machine that the rules about placement refer to.
 #[derive(Debug)]
--- a/crates/checker/src/calm.rs
+++ b/crates/checker/src/quiet_periods.rs
@@ -4,29 +4,29 @@
 
 /// Counts the active faults.
 #[derive(Debug, Default)]
-pub struct Calm {
-    running: u32,
+pub struct QuietPeriods {
+    active: u32,
     last_change_ms: u64,
 }
 
-impl Calm {
+impl QuietPeriods {
     /// Processes an event. Returns true if it ended a quiet period.
     pub fn feed(&mut self, event: &Event) -> bool {
         let What::Trouble { on, .. } = &event.what else {
             return false;
         };
-        let was_calm = self.running == 0;
+        let was_quiet = self.active == 0;
         self.last_change_ms = event.at_ms;
         if *on {
-            self.running += 1;
+            self.active += 1;
         } else {
-            self.running = self.running.saturating_sub(1);
+            self.active = self.active.saturating_sub(1);
         }
-        was_calm && *on
+        was_quiet && *on
     }
 
     /// Returns the time at which the last fault ended, in ms; `None` while one is active.
-    pub fn since_ms(&self) -> Option<u64> {
-        (self.running == 0).then_some(self.last_change_ms)
+    pub fn quiet_since_ms(&self) -> Option<u64> {
+        (self.active == 0).then_some(self.last_change_ms)
     }
 }
--- a/crates/checker/src/answers.rs
+++ b/crates/checker/src/responses.rs
@@ -2,8 +2,8 @@
 //! contradict them. A response to a request that was sent before an earlier response was
 //! received may be older than that response.
 
-use crate::breach::Rule;
 use crate::history::{Ask, State};
+use crate::violation::Rule;
 
 /// A contradiction to an earlier response or event.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -16,7 +16,7 @@
 
 /// The response to one request.
 #[derive(Debug, Clone, Copy)]
-pub struct Answer {
+pub struct Response {
     pub ask: Ask,
     /// Time at which the request was sent, in ms.
     pub sent_ms: u64,
@@ -27,64 +27,64 @@
     pub state: Option<State>,
 }
 
-impl Answer {
-    fn accepts(&self) -> bool {
+impl Response {
+    fn is_acceptance(&self) -> bool {
         matches!(self.status, 200 | 201)
     }
 }
 
 /// The responses about one job that later ones must not fall behind.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct ReceivedResponses {
     /// Time at which the user was first told that the job is accepted, in ms.
     pub accepted_ms: Option<u64>,
     /// The final state that the user was first told, and when.
-    pub ended: Option<(State, u64)>,
+    pub final_state: Option<(State, u64)>,
 }
 
-impl Told {
+impl ReceivedResponses {
     /// Returns the contradictions of the response to earlier ones.
-    pub fn contradictions(&self, answer: &Answer) -> Vec<Contradiction> {
+    pub fn contradictions(&self, response: &Response) -> Vec<Contradiction> {
         let all = [
-            self.unknown(answer),
-            self.refused(answer),
-            self.changed(answer),
+            self.reported_unknown(response),
+            self.refused_again(response),
+            self.changed_state(response),
         ];
         all.into_iter().flatten().collect()
     }
 
     /// Records the response. Returns true if it is the first with a final state.
-    pub fn hear(&mut self, answer: &Answer) -> bool {
-        if !answer.accepts() {
+    pub fn record(&mut self, response: &Response) -> bool {
+        if !response.is_acceptance() {
             return false;
         }
-        self.accepted_ms.get_or_insert(answer.at_ms);
-        let Some(end) = answer.state.filter(|state| state.is_final()) else {
+        self.accepted_ms.get_or_insert(response.at_ms);
+        let Some(end) = response.state.filter(|state| state.is_final()) else {
             return false;
         };
-        let first = self.ended.is_none();
-        self.ended.get_or_insert((end, answer.at_ms));
+        let first = self.final_state.is_none();
+        self.final_state.get_or_insert((end, response.at_ms));
         first
     }
 
     /// Returns when the user was told that the job is accepted, if that was no later than the
     /// sending of this request.
-    fn accepted_before(&self, answer: &Answer) -> Option<u64> {
-        self.accepted_ms.filter(|ms| answer.sent_ms >= *ms)
+    fn accepted_before(&self, response: &Response) -> Option<u64> {
+        self.accepted_ms.filter(|ms| response.sent_ms >= *ms)
     }
 
-    fn unknown(&self, answer: &Answer) -> Option<Contradiction> {
-        let since_ms = self.accepted_before(answer)?;
-        (answer.status == 404).then(|| Contradiction {
+    fn reported_unknown(&self, response: &Response) -> Option<Contradiction> {
+        let since_ms = self.accepted_before(response)?;
+        (response.status == 404).then(|| Contradiction {
             rule: Rule::Forgotten,
             since_ms,
             why: "reported as unknown, but accepted".into(),
         })
     }
 
-    fn refused(&self, answer: &Answer) -> Option<Contradiction> {
-        let since_ms = self.accepted_before(answer)?;
-        let refused = answer.ask == Ask::Submit && matches!(answer.status, 400 | 422);
+    fn refused_again(&self, response: &Response) -> Option<Contradiction> {
+        let since_ms = self.accepted_before(response)?;
+        let refused = response.ask == Ask::Submit && matches!(response.status, 400 | 422);
         refused.then(|| Contradiction {
             rule: Rule::Forgotten,
             since_ms,
@@ -92,15 +92,15 @@
         })
     }
 
-    fn changed(&self, answer: &Answer) -> Option<Contradiction> {
-        let state = answer.state.filter(|_| answer.accepts())?;
-        let (was, since_ms) = self.ended.filter(|(was, _)| *was != state)?;
+    fn changed_state(&self, response: &Response) -> Option<Contradiction> {
+        let state = response.state.filter(|_| response.is_acceptance())?;
+        let (earlier, since_ms) = self.final_state.filter(|(earlier, _)| *earlier != state)?;
         // Final states must agree even if the response was sent before the earlier one arrived.
-        let bound = answer.sent_ms >= since_ms || state.is_final();
-        bound.then(|| Contradiction {
+        let contradicts = response.sent_ms >= since_ms || state.is_final();
+        contradicts.then(|| Contradiction {
             rule: Rule::WentBack,
             since_ms,
-            why: format!("reported as {state:?}, but already reported as {was:?}"),
+            why: format!("reported as {state:?}, but already reported as {earlier:?}"),
         })
     }
 }
--- a/crates/checker/src/rules.rs
+++ b/crates/checker/src/rules.rs
@@ -1,61 +1,61 @@
 //! Checks every rule of the protocol page, event by event.
 
-use crate::answers::{Answer, Told};
-use crate::breach::{Breach, Rule};
 use crate::cancelled::CancelledStarts;
 use crate::failed_day::{self, Failure};
 use crate::groups::{self, GroupFigures};
 use crate::history::{Event, Facts, Job, Off, What, job_of};
 use crate::placement::Place;
-use crate::starved::{Least, Starved};
+use crate::responses::{ReceivedResponses, Response};
+use crate::starvation::{Least, Starvation};
 use crate::unanswered::Unanswered;
+use crate::violation::{Breach, Rule};
 use crate::waiting::{Wait, Waiting};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
+mod responses;
 mod starts;
-mod told;
 
 /// Time for which every status query for a job must fail before it counts as forgotten, in ms.
-const SILENT_MS: u64 = 90_000;
+const FORGOTTEN_MS: u64 = 90_000;
 /// Tolerance for the rounding errors of sums of decimal amounts, in CPUs.
 const ROUNDING: f64 = 1e-6;
 
 #[derive(Debug)]
-struct Known {
+struct TrackedJob {
     job: Job,
-    told: Told,
-    unwanted: Option<u64>,
+    responses: ReceivedResponses,
+    unwanted_ms: Option<u64>,
     /// Time at which each finished task was done.
     done: BTreeMap<u32, u64>,
     /// Machines that have each task, with the time since when.
-    on: BTreeMap<u32, Vec<(String, u64)>>,
+    on_machines: BTreeMap<u32, Vec<(String, u64)>>,
     /// Time of the first status query in the current run of failed ones.
-    silent: Option<u64>,
+    failing_since_ms: Option<u64>,
 }
 
 #[derive(Debug, Default)]
-struct Polls {
+struct QueryCounts {
     /// Successful and failed status queries in each whole second.
     by_second: BTreeMap<u64, (u32, u32)>,
 }
 
-impl Polls {
-    fn count(&mut self, answer: &Answer) {
-        let second = self.by_second.entry(answer.at_ms / 1000).or_default();
-        match answer.status {
+impl QueryCounts {
+    fn count(&mut self, response: &Response) {
+        let second = self.by_second.entry(response.at_ms / 1000).or_default();
+        match response.status {
             200 | 404 => second.0 += 1,
             _ => second.1 += 1,
         }
     }
 
-    fn mostly_answered(&self, from_ms: u64, to_ms: u64) -> bool {
+    fn mostly_succeeded(&self, from_ms: u64, to_ms: u64) -> bool {
         let range = self.by_second.range(from_ms / 1000..=to_ms / 1000);
-        let (mut answered, mut failed) = (0, 0);
+        let (mut succeeded, mut failed) = (0, 0);
         for (_, (a, f)) in range {
-            answered += a;
+            succeeded += a;
             failed += f;
         }
-        answered > failed
+        succeeded > failed
     }
 }
 
@@ -63,21 +63,21 @@
 #[derive(Debug, Default)]
 pub struct Checker {
     facts: Option<Facts>,
-    jobs: BTreeMap<String, Known>,
+    jobs: BTreeMap<String, TrackedJob>,
     machines: HashMap<String, Place>,
     /// CPUs that each team uses on machines, and the time at which a task of it last started.
     used: BTreeMap<String, (f64, u64)>,
-    polls: Polls,
+    queries: QueryCounts,
     /// Jobs whose users were told of the cancellation, by the deadline for their tasks to end.
-    overdue: BTreeSet<(u64, String)>,
+    cancel_deadlines: BTreeSet<(u64, String)>,
     starts: u64,
     submitted: u64,
-    starved: Starved,
+    starvation: Starvation,
     waiting: Waiting,
     cancelled: CancelledStarts,
     unanswered: Unanswered,
     /// The field that the submission of a job lacks, by job.
-    lacking: BTreeMap<String, String>,
+    missing_fields: BTreeMap<String, String>,
     /// Reasons to count the day as failed by the operators' criteria; set at the end.
     pub failures: Vec<Failure>,
     /// Figures of each class and team; set at the end.
@@ -98,8 +98,8 @@
 
     pub fn feed(&mut self, event: &Event) {
         let at = event.at_ms;
-        self.expire(at);
-        self.starved.feed(event);
+        self.check_cancel_deadlines(at);
+        self.starvation.feed(event);
         self.waiting.feed(event);
         self.breaches.extend(self.cancelled.feed(event));
         self.breaches.extend(self.unanswered.feed(event));
@@ -114,21 +114,21 @@
                 state,
                 node,
             } => {
-                let answer = Answer {
+                let response = Response {
                     ask: *ask,
                     sent_ms: *sent_ms,
                     at_ms: at,
                     status: *status,
                     state: *state,
                 };
-                self.told(job, &answer, node);
+                self.response(job, &response, node);
             }
             What::LacksField { job, field } => {
-                self.lacking.insert(job.clone(), field.clone());
+                self.missing_fields.insert(job.clone(), field.clone());
             }
             What::Unwanted { job } => {
                 if let Some(k) = self.jobs.get_mut(job) {
-                    k.unwanted.get_or_insert(at);
+                    k.unwanted_ms.get_or_insert(at);
                 }
             }
             What::Rented {
@@ -145,26 +145,26 @@
                 };
                 self.machines.insert(machine.clone(), place);
             }
-            What::On { machine, task, .. } => self.on(machine, task, at),
+            What::On { machine, task, .. } => self.on_machine(machine, task, at),
             What::Off {
                 machine, task, why, ..
-            } => self.off(machine, task, *why, at),
-            What::Ends => self.ends(at),
+            } => self.off_machine(machine, task, *why, at),
+            What::Ends => self.finish(at),
             _ => {}
         }
     }
 
     fn submitted(&mut self, job: &Job) {
         self.submitted += 1;
-        let known = Known {
+        let tracked = TrackedJob {
             job: job.clone(),
-            told: Told::default(),
-            unwanted: None,
+            responses: ReceivedResponses::default(),
+            unwanted_ms: None,
             done: BTreeMap::new(),
-            on: BTreeMap::new(),
-            silent: None,
+            on_machines: BTreeMap::new(),
+            failing_since_ms: None,
         };
-        self.jobs.entry(job.id.clone()).or_insert(known);
+        self.jobs.entry(job.id.clone()).or_insert(tracked);
     }
 
     /// Returns the time after the user was told of a cancellation within which all tasks of the
@@ -175,24 +175,24 @@
 
     /// Records a violation for each task that is on a machine past the deadline of its
     /// cancelled job.
-    fn expire(&mut self, now: u64) {
-        while let Some((deadline, id)) = self.overdue.first().cloned()
+    fn check_cancel_deadlines(&mut self, now: u64) {
+        while let Some((deadline, id)) = self.cancel_deadlines.first().cloned()
             && deadline < now
         {
-            self.overdue.pop_first();
-            let Some(known) = self.jobs.get(&id) else {
+            self.cancel_deadlines.pop_first();
+            let Some(tracked) = self.jobs.get(&id) else {
                 continue;
             };
-            let told = known.told.ended.map_or(0, |e| e.1);
-            let late: Vec<Breach> = known
-                .on
+            let reported_ms = tracked.responses.final_state.map_or(0, |e| e.1);
+            let late: Vec<Breach> = tracked
+                .on_machines
                 .iter()
                 .flat_map(|(n, on)| on.iter().map(move |(machine, _)| (n, machine)))
                 .map(|(n, machine)| Breach {
                     rule: Rule::RanCancelled,
                     what: format!("{id}/{n}"),
                     place: machine.clone(),
-                    since_ms: told,
+                    since_ms: reported_ms,
                     at_ms: deadline,
                     why: "still there after its user was told of the cancellation".into(),
                 })
@@ -201,12 +201,12 @@
         }
     }
 
-    fn off(&mut self, machine: &str, task: &str, why: Off, at: u64) {
+    fn off_machine(&mut self, machine: &str, task: &str, why: Off, at: u64) {
         let number = task.split_once('/').and_then(|(_, n)| n.parse().ok());
-        let (Some(known), Some(n)) = (self.jobs.get_mut(job_of(task)), number) else {
+        let (Some(tracked), Some(n)) = (self.jobs.get_mut(job_of(task)), number) else {
             return;
         };
-        let Some(on) = known.on.get_mut(&n) else {
+        let Some(on) = tracked.on_machines.get_mut(&n) else {
             return;
         };
         let before = on.len();
@@ -215,24 +215,24 @@
         }
         let gone = before - on.len();
         if on.is_empty() {
-            known.on.remove(&n);
+            tracked.on_machines.remove(&n);
         }
         if why == Off::Done {
-            known.done.entry(n).or_insert(at);
+            tracked.done.entry(n).or_insert(at);
         }
-        if let Some(used) = self.used.get_mut(&known.job.team) {
-            used.0 -= known.job.cpus * gone as f64;
+        if let Some(used) = self.used.get_mut(&tracked.job.team) {
+            used.0 -= tracked.job.cpus * gone as f64;
         }
     }
 
-    fn ends(&mut self, at: u64) {
-        self.expire(at + 1);
-        let starved = self.starved.ends(at);
+    fn finish(&mut self, at: u64) {
+        self.check_cancel_deadlines(at + 1);
+        let starved = self.starvation.violations(at);
         self.breaches.extend(starved);
         self.breaches.extend(self.waiting.breaches());
-        self.failures = failed_day::failures(&self.starved, at);
-        self.groups = groups::figures(&self.starved, &self.waiting, &self.unanswered);
-        self.least = self.starved.least(at);
+        self.failures = failed_day::failures(&self.starvation, at);
+        self.groups = groups::figures(&self.starvation, &self.waiting, &self.unanswered);
+        self.least = self.starvation.least(at);
         if self.starts == 0 && self.submitted > 0 {
             self.breach(Breach {
                 rule: Rule::NothingRan,
--- a/crates/checker/src/rules/starts.rs
+++ b/crates/checker/src/rules/starts.rs
@@ -1,21 +1,21 @@
 //! Rules about the start of a task on a machine.
 
-use super::{Checker, Known, ROUNDING};
-use crate::answers::Contradiction;
-use crate::breach::{Breach, Rule};
+use super::{Checker, ROUNDING, TrackedJob};
 use crate::history::{State, job_of};
 use crate::placement::{self, Placed};
+use crate::responses::Contradiction;
+use crate::violation::{Breach, Rule};
 
 impl Checker {
     /// Checks and records that a task is on a machine from now on.
-    pub(super) fn on(&mut self, machine: &str, task: &str, at: u64) {
+    pub(super) fn on_machine(&mut self, machine: &str, task: &str, at: u64) {
         self.starts += 1;
         let number = task.split_once('/').and_then(|(_, n)| n.parse().ok());
         let found = match (self.jobs.get(job_of(task)), number) {
-            (Some(known), Some(number)) => {
-                let mut found = self.wrong_start(known, number, machine, at);
-                found.extend(self.use_more(job_of(task), at));
-                self.put_on(job_of(task), number, machine, at);
+            (Some(tracked), Some(number)) => {
+                let mut found = self.wrong_start(tracked, number, machine, at);
+                found.extend(self.add_usage(job_of(task), at));
+                self.record_on_machine(job_of(task), number, machine, at);
                 found
             }
             _ => vec![Contradiction {
@@ -38,27 +38,27 @@
     /// Returns the rules that a start breaks, apart from the limit of its team.
     fn wrong_start(
         &self,
-        known: &Known,
+        tracked: &TrackedJob,
         number: u32,
         machine: &str,
         at_ms: u64,
     ) -> Vec<Contradiction> {
         let found = [
-            self.too_early(known, at_ms),
-            already_on(known, number),
-            self.after_cancel(known, at_ms),
-            self.wrong_place(known, number, machine, at_ms),
+            self.too_early(tracked, at_ms),
+            already_on(tracked, number),
+            self.started_after_cancel(tracked, at_ms),
+            self.wrong_place(tracked, number, machine, at_ms),
         ];
         found.into_iter().flatten().collect()
     }
 
     /// Finds a job that this one needs and that is not done.
-    fn too_early(&self, known: &Known, at_ms: u64) -> Option<Contradiction> {
+    fn too_early(&self, tracked: &TrackedJob, at_ms: u64) -> Option<Contradiction> {
         let undone = |id: &&String| {
-            let known = self.jobs.get(*id);
-            known.is_none_or(|k| (k.done.len() as u32) < k.job.tasks)
+            let tracked = self.jobs.get(*id);
+            tracked.is_none_or(|k| (k.done.len() as u32) < k.job.tasks)
         };
-        let need = known.job.needs.iter().find(undone)?;
+        let need = tracked.job.needs.iter().find(undone)?;
         Some(Contradiction {
             rule: Rule::TooEarly,
             since_ms: at_ms,
@@ -68,13 +68,13 @@
 
     /// Finds a start after the user was told of the cancellation and the time for the tasks to
     /// end is over.
-    fn after_cancel(&self, known: &Known, at_ms: u64) -> Option<Contradiction> {
-        let Some((State::Cancelled, told_ms)) = known.told.ended else {
+    fn started_after_cancel(&self, tracked: &TrackedJob, at_ms: u64) -> Option<Contradiction> {
+        let Some((State::Cancelled, reported_ms)) = tracked.responses.final_state else {
             return None;
         };
-        (at_ms > told_ms + self.cancel_ms()).then(|| Contradiction {
+        (at_ms > reported_ms + self.cancel_ms()).then(|| Contradiction {
             rule: Rule::RanCancelled,
-            since_ms: told_ms,
+            since_ms: reported_ms,
             why: "started after its user was told of the cancellation".into(),
         })
     }
@@ -82,14 +82,14 @@
     /// Finds a machine that the job does not allow, given its other tasks.
     fn wrong_place(
         &self,
-        known: &Known,
+        tracked: &TrackedJob,
         number: u32,
         machine: &str,
         at_ms: u64,
     ) -> Option<Contradiction> {
         let place = self.machines.get(machine)?;
         let zone_of = |name: &String| self.machines.get(name).map(|m| m.zone.as_str());
-        let others = known.on.iter().filter(|(n, _)| **n != number);
+        let others = tracked.on_machines.iter().filter(|(n, _)| **n != number);
         let others = others.flat_map(|(_, on)| on);
         let others: Vec<Placed> = others
             .map(|(name, since_ms)| Placed {
@@ -97,11 +97,11 @@
                 since_ms: *since_ms,
             })
             .collect();
-        placement::wrong_place(&known.job, place, &others, at_ms)
+        placement::wrong_place(&tracked.job, place, &others, at_ms)
     }
 
     /// Adds the CPUs of a task to its team's usage, and checks the limit.
-    fn use_more(&mut self, id: &str, at_ms: u64) -> Option<Contradiction> {
+    fn add_usage(&mut self, id: &str, at_ms: u64) -> Option<Contradiction> {
         let job = &self.jobs.get(id)?.job;
         let used = self.used.entry(job.team.clone()).or_default();
         let since_ms = std::mem::replace(&mut used.1, at_ms);
@@ -119,17 +119,17 @@
         })
     }
 
-    fn put_on(&mut self, id: &str, number: u32, machine: &str, at_ms: u64) {
-        if let Some(known) = self.jobs.get_mut(id) {
-            let on = known.on.entry(number).or_default();
+    fn record_on_machine(&mut self, id: &str, number: u32, machine: &str, at_ms: u64) {
+        if let Some(tracked) = self.jobs.get_mut(id) {
+            let on = tracked.on_machines.entry(number).or_default();
             on.push((machine.to_string(), at_ms));
         }
     }
 }
 
 /// Finds a machine that has the task already.
-fn already_on(known: &Known, number: u32) -> Option<Contradiction> {
-    let (other, since_ms) = known.on.get(&number)?.first()?;
+fn already_on(tracked: &TrackedJob, number: u32) -> Option<Contradiction> {
+    let (other, since_ms) = tracked.on_machines.get(&number)?.first()?;
     Some(Contradiction {
         rule: Rule::RanTwice,
         since_ms: *since_ms,
--- a/crates/checker/src/settle.rs
+++ b/crates/checker/src/settle.rs
@@ -23,7 +23,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct JobEvents {
     submitted: u64,
     tasks: u32,
     standing: bool,
@@ -31,22 +31,22 @@
     refused: Option<(u16, u64)>,
     accepted: Option<u64>,
     gave_up: Option<u64>,
-    finals: BTreeMap<State, u64>,
+    final_states: BTreeMap<State, u64>,
     done: BTreeSet<String>,
     last_done: u64,
     ran: bool,
-    here: i64,
+    tasks_on_machines: i64,
 }
 
 /// Returns the outcome of every submitted job as of the last event.
 pub fn settle(events: &[Event]) -> BTreeMap<String, Settled> {
-    let mut jobs: BTreeMap<&str, Seen> = BTreeMap::new();
+    let mut jobs: BTreeMap<&str, JobEvents> = BTreeMap::new();
     for e in events {
         match &e.what {
             What::Submitted { job } => {
-                let seen = jobs.entry(&job.id).or_default();
-                seen.submitted = e.at_ms;
-                (seen.tasks, seen.standing) = (job.tasks, job.standing);
+                let job_events = jobs.entry(&job.id).or_default();
+                job_events.submitted = e.at_ms;
+                (job_events.tasks, job_events.standing) = (job.tasks, job.standing);
             }
             What::Told {
                 ask,
@@ -55,68 +55,69 @@
                 state,
                 ..
             } => {
-                let Some(seen) = jobs.get_mut(job.as_str()) else {
+                let Some(job_events) = jobs.get_mut(job.as_str()) else {
                     continue;
                 };
-                seen.attempts += u32::from(*ask == Ask::Submit);
+                job_events.attempts += u32::from(*ask == Ask::Submit);
                 match (status, state) {
                     (200 | 201, Some(state)) => {
-                        seen.accepted.get_or_insert(e.at_ms);
+                        job_events.accepted.get_or_insert(e.at_ms);
                         if state.is_final() {
-                            seen.finals.entry(*state).or_insert(e.at_ms);
+                            job_events.final_states.entry(*state).or_insert(e.at_ms);
                         }
                     }
                     (400 | 422, _) if *ask == Ask::Submit => {
-                        seen.refused.get_or_insert((*status, e.at_ms));
+                        job_events.refused.get_or_insert((*status, e.at_ms));
                     }
                     _ => {}
                 }
             }
             What::GaveUp { job } => {
-                if let Some(seen) = jobs.get_mut(job.as_str()) {
-                    seen.gave_up = Some(e.at_ms);
+                if let Some(job_events) = jobs.get_mut(job.as_str()) {
+                    job_events.gave_up = Some(e.at_ms);
                 }
             }
             What::On { task, .. } => {
-                if let Some(seen) = jobs.get_mut(job_of(task)) {
-                    seen.ran = true;
-                    seen.here += 1;
+                if let Some(job_events) = jobs.get_mut(job_of(task)) {
+                    job_events.ran = true;
+                    job_events.tasks_on_machines += 1;
                 }
             }
             What::Off { task, why, .. } => {
-                if let Some(seen) = jobs.get_mut(job_of(task)) {
-                    seen.here -= 1;
+                if let Some(job_events) = jobs.get_mut(job_of(task)) {
+                    job_events.tasks_on_machines -= 1;
                     if *why == Off::Done {
-                        seen.done.insert(task.clone());
-                        seen.last_done = e.at_ms;
+                        job_events.done.insert(task.clone());
+                        job_events.last_done = e.at_ms;
                     }
                 }
             }
             _ => {}
         }
     }
-    let of = |(id, seen): (&str, Seen)| (id.to_string(), end(&seen));
+    let of = |(id, job_events): (&str, JobEvents)| (id.to_string(), outcome(&job_events));
     jobs.into_iter().map(of).collect()
 }
 
-fn end(s: &Seen) -> Settled {
+fn outcome(s: &JobEvents) -> Settled {
     let settled = |end, at_ms, evidence: String| Settled {
         end,
         at_ms,
         evidence,
     };
     let unsettled = |why: String| settled(End::Unsettled, s.submitted, why);
-    if s.finals.len() > 1 {
+    if s.final_states.len() > 1 {
         return unsettled(format!(
             "reported as both done and cancelled: {:?}",
-            s.finals
+            s.final_states
         ));
     }
-    if let Some((state, at)) = s.finals.first_key_value() {
+    if let Some((state, at)) = s.final_states.first_key_value() {
         return match state {
-            State::Cancelled if s.here > 0 => {
-                unsettled(format!("cancelled, but {} tasks still run", s.here))
-            }
+            State::Cancelled if s.tasks_on_machines > 0 => unsettled(format!(
+                "cancelled, but {} tasks still run",
+                s.tasks_on_machines
+            )),
             State::Cancelled => settled(End::Cancelled, *at, "reported as cancelled".into()),
             _ if s.standing || (s.done.len() as u32) < s.tasks => unsettled(format!(
                 "reported as done with {} of {} tasks done",
@@ -140,14 +141,14 @@
         (Some((status, at)), None, _) => settled(End::Refused, at, format!("status {status}")),
         (None, None, Some(at)) => {
             let ran = if s.ran { ", but a task ran" } else { "" };
-            let tries = s.attempts;
-            settled(End::NeverAccepted, at, format!("{tries} attempts{ran}"))
+            let attempts = s.attempts;
+            settled(End::NeverAccepted, at, format!("{attempts} attempts{ran}"))
         }
         (None, Some(_), _) => unsettled(format!(
             "accepted, {} of {} tasks done, {} on machines",
             s.done.len(),
             s.tasks,
-            s.here
+            s.tasks_on_machines
         )),
         (None, None, None) => unsettled(format!("{} attempts, still trying", s.attempts)),
     }
--- a/crates/checker/src/starved.rs
+++ b/crates/checker/src/starvation.rs
@@ -1,34 +1,35 @@
 //! Finds starvation: a class or a team with a smaller share of jobs done in time than the
 //! scenario asks for, although the excess that other groups got would have been enough.
 
-use crate::breach::{Breach, Rule};
+use crate::feasibility;
 use crate::history::{Event, Facts, Job, MachineType, Off, What, job_of};
-use crate::possible;
+use crate::violation::{Breach, Rule};
 use cherrywood_scenario::deployment::Served;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
-struct Seen {
+struct TrackedJob {
     job: Job,
-    at: u64,
+    submitted_ms: u64,
     /// Whether no user waits for the job: it runs until cancelled, was refused for good, or its
     /// user wants it cancelled.
-    void: bool,
+    excluded: bool,
     /// Whether the job can never run. It does not count unless it was accepted, also if its
     /// user gave up before it was refused.
-    impossible: bool,
+    infeasible: bool,
     done: BTreeSet<String>,
-    done_at: Option<u64>,
+    done_ms: Option<u64>,
     accepted: bool,
-    began: Option<u64>,
+    started_ms: Option<u64>,
 }
 
+/// Tracks which jobs are done, and finds starved classes and teams.
 #[derive(Debug, Default)]
-pub struct Starved {
-    asked: Option<Served>,
+pub struct Starvation {
+    target: Option<Served>,
     /// Facts that determine which jobs can run at all.
     facts: Option<Facts>,
-    jobs: BTreeMap<String, Seen>,
+    jobs: BTreeMap<String, TrackedJob>,
     /// Useful run time in CPU seconds, and number of tasks done, by class.
     useful: BTreeMap<String, (f64, u32)>,
     kinds: Vec<MachineType>,
@@ -93,23 +94,23 @@
     }
 }
 
-impl Seen {
+impl TrackedJob {
     /// Whether a user waits for the job. An accepted job counts, whether it can run or not.
-    fn wanted(&self) -> bool {
-        !self.void && (self.accepted || !self.impossible)
+    fn is_wanted(&self) -> bool {
+        !self.excluded && (self.accepted || !self.infeasible)
     }
 }
 
-impl Starved {
-    fn can_never_run(&self, job: &Job) -> bool {
+impl Starvation {
+    fn is_infeasible(&self, job: &Job) -> bool {
         let facts = self.facts.as_ref();
-        facts.is_some_and(|facts| possible::impossible(facts, job).is_some())
+        facts.is_some_and(|facts| feasibility::infeasibility(facts, job).is_some())
     }
 
     pub fn feed(&mut self, event: &Event) {
         match &event.what {
             What::Begins { facts, .. } => {
-                self.asked = facts.served;
+                self.target = facts.served;
                 self.kinds.clone_from(&facts.kinds);
                 self.facts = Some(facts.clone());
             }
@@ -129,15 +130,15 @@
                 }
             }
             What::Submitted { job } => {
-                let seen = Seen {
+                let seen = TrackedJob {
                     job: job.clone(),
-                    at: event.at_ms,
-                    void: job.standing,
-                    impossible: self.can_never_run(job),
+                    submitted_ms: event.at_ms,
+                    excluded: job.standing,
+                    infeasible: self.is_infeasible(job),
                     done: BTreeSet::new(),
-                    done_at: None,
+                    done_ms: None,
                     accepted: false,
-                    began: None,
+                    started_ms: None,
                 };
                 self.jobs.entry(job.id.clone()).or_insert(seen);
             }
@@ -152,7 +153,7 @@
             }
             What::On { task, .. } => {
                 if let Some(s) = self.jobs.get_mut(job_of(task)) {
-                    s.began.get_or_insert(event.at_ms);
+                    s.started_ms.get_or_insert(event.at_ms);
                 }
             }
             What::Told {
@@ -162,7 +163,7 @@
             }
             | What::Unwanted { job } => {
                 if let Some(s) = self.jobs.get_mut(job) {
-                    s.void = true;
+                    s.excluded = true;
                 }
             }
             What::Off {
@@ -176,7 +177,7 @@
                 if *why == Off::Done && s.done.insert(task.clone()) {
                     useful.1 += 1;
                     if s.done.len() as u32 >= s.job.tasks {
-                        s.done_at = Some(event.at_ms);
+                        s.done_ms = Some(event.at_ms);
                     }
                 }
             }
@@ -184,9 +185,9 @@
         }
     }
 
-    /// Returns the estimated CPU seconds of a job, from the mean useful run time of the done
-    /// tasks of its class, or of all classes if none of its class is done.
-    fn work(&self, job: &Job) -> f64 {
+    /// Returns the estimated CPU seconds of a job, from the useful run time per done task of its
+    /// class, or of all classes if no task of its class is done.
+    fn estimated_work(&self, job: &Job) -> f64 {
         let (useful, tasks) = self.useful.get(&job.class).copied().unwrap_or_default();
         let all = self
             .useful
@@ -198,16 +199,16 @@
 
     /// Returns when the job was submitted or the last job that it needs was done, whichever is
     /// later; `None` if one that it needs is not done.
-    fn ready_at(&self, s: &Seen) -> Option<u64> {
-        let done = |id: &String| self.jobs.get(id)?.done_at;
+    fn ready_ms(&self, s: &TrackedJob) -> Option<u64> {
+        let done = |id: &String| self.jobs.get(id)?.done_ms;
         let ends: Option<Vec<u64>> = s.job.needs.iter().map(done).collect();
-        Some(ends?.into_iter().fold(s.at, u64::max))
+        Some(ends?.into_iter().fold(s.submitted_ms, u64::max))
     }
 
     /// Returns the largest tenth of each class, by estimated work, if the scenario limits the
     /// time until they start; none of a class of fewer than ten jobs.
     fn largest(&self) -> BTreeSet<&str> {
-        match self.asked {
+        match self.target {
             Some(Served {
                 begin_s: Some(_), ..
             }) => self.largest_tenths(),
@@ -218,9 +219,9 @@
     /// Returns the largest tenth of each class, by estimated work.
     fn largest_tenths(&self) -> BTreeSet<&str> {
         let mut classes: BTreeMap<&str, Vec<(f64, &str)>> = BTreeMap::new();
-        for s in self.jobs.values().filter(|s| s.wanted()) {
+        for s in self.jobs.values().filter(|s| s.is_wanted()) {
             let of = classes.entry(&s.job.class).or_default();
-            of.push((self.work(&s.job), &s.job.id));
+            of.push((self.estimated_work(&s.job), &s.job.id));
         }
         let mut largest = BTreeSet::new();
         for of in classes.values_mut() {
@@ -248,9 +249,9 @@
             .values()
             .filter(|s| s.accepted && largest.contains(s.job.id.as_str()));
         let waits = of.filter_map(|s| {
-            let from = self.ready_at(s)?;
+            let from = self.ready_ms(s)?;
             Some((
-                s.began.unwrap_or(at).saturating_sub(from),
+                s.started_ms.unwrap_or(at).saturating_sub(from),
                 s.job.id.as_str(),
             ))
         });
@@ -262,14 +263,14 @@
     fn groups(&self, within_ms: u64, at: u64) -> BTreeMap<(&str, &str), Group> {
         let mut groups: BTreeMap<(&str, &str), Group> = BTreeMap::new();
         let largest = self.largest();
-        for s in self.jobs.values().filter(|s| s.wanted()) {
+        for s in self.jobs.values().filter(|s| s.is_wanted()) {
             // A job that needs others counts from when they are done.
-            let Some(from) = self.ready_at(s) else {
+            let Some(from) = self.ready_ms(s) else {
                 continue;
             };
             let class = s.job.class.as_str();
             // The largest may start later than others, and have as much more time to be done.
-            let begin_s = self.asked.and_then(|a| a.begin_s).unwrap_or(0.0);
+            let begin_s = self.target.and_then(|a| a.begin_s).unwrap_or(0.0);
             let longer_ms = within_ms + (begin_s * 1000.0) as u64;
             let tenth = largest.contains(s.job.id.as_str());
             let tenth = tenth.then_some(("the largest tenth of", class, longer_ms));
@@ -278,19 +279,19 @@
                 ("team", &s.job.team, within_ms),
             ];
             for (what, name, within_ms) in all.into_iter().chain(tenth) {
-                let served = s.done_at.is_some_and(|d| d - from <= within_ms);
+                let served = s.done_ms.is_some_and(|d| d - from <= within_ms);
                 // The time for this job is not over yet.
                 if !served && at < from + within_ms {
                     continue;
                 }
                 let g = groups.entry((what, name)).or_default();
                 g.wanted += 1;
-                g.first_ms.get_or_insert(s.at);
+                g.first_ms.get_or_insert(s.submitted_ms);
                 if served {
                     g.served += 1;
-                    g.got += self.work(&s.job);
+                    g.got += self.estimated_work(&s.job);
                 } else {
-                    g.missing.push(self.work(&s.job));
+                    g.missing.push(self.estimated_work(&s.job));
                 }
             }
         }
@@ -302,8 +303,8 @@
     pub(crate) fn shares(&self) -> BTreeMap<Members<'_>, Share> {
         let largest = self.largest_tenths();
         let mut shares: BTreeMap<Members<'_>, Share> = BTreeMap::new();
-        let wanted = self.jobs.values().filter(|s| s.wanted());
-        for seen in wanted.filter(|s| self.ready_at(s).is_some()) {
+        let wanted = self.jobs.values().filter(|s| s.is_wanted());
+        for seen in wanted.filter(|s| self.ready_ms(s).is_some()) {
             let job = &seen.job;
             let tenth = largest.contains(job.id.as_str());
             let tenth = tenth.then_some(Members::LargestOf(&job.class));
@@ -311,7 +312,7 @@
             for members in all.into_iter().chain(tenth) {
                 let share = shares.entry(members).or_default();
                 share.wanted += 1;
-                share.served += usize::from(seen.done_at.is_some());
+                share.served += usize::from(seen.done_ms.is_some());
             }
         }
         shares
@@ -324,36 +325,40 @@
 
     /// Returns the least served group, if the scenario asks for a served share.
     pub fn least(&self, at: u64) -> Option<Least> {
-        let within_ms = (self.asked?.within_s * 1000.0) as u64;
+        let within_ms = (self.target?.within_s * 1000.0) as u64;
         let groups = self.groups(within_ms, at);
         let least = groups
             .iter()
             .min_by(|a, b| a.1.share().total_cmp(&b.1.share()));
         let ((what, name), group) = least?;
         let longest = self.longest_start(at);
-        let open = self.jobs.values().filter(|s| s.wanted());
-        let last = open.clone().map(|s| s.at + within_ms).max().unwrap_or(0);
+        let open = self.jobs.values().filter(|s| s.is_wanted());
+        let last = open
+            .clone()
+            .map(|s| s.submitted_ms + within_ms)
+            .max()
+            .unwrap_or(0);
         let up = |m: &(f64, Option<u64>, Option<u64>)| {
             let (from, to) = (m.1.unwrap_or(last), m.2.unwrap_or(last).min(last));
             m.0 * to.saturating_sub(from) as f64 / 1000.0
         };
-        let can: f64 = self.machines.values().map(up).sum();
+        let available: f64 = self.machines.values().map(up).sum();
         let mut classes: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for s in open {
             let sizes = classes.entry(&s.job.class).or_default();
-            sizes.push(self.work(&s.job));
+            sizes.push(self.estimated_work(&s.job));
         }
         classes.values_mut().for_each(|c| c.sort_by(f64::total_cmp));
         // The bound is the largest share, to a thousandth, for which the smallest jobs of every
         // class together fit the CPU time of the machines.
-        let takes = |thousandth: u32| -> f64 {
+        let required = |thousandth: u32| -> f64 {
             let of = |c: &Vec<f64>| {
                 let n = (c.len() as f64 * f64::from(thousandth) / 1000.0).ceil() as usize;
                 c[..n.min(c.len())].iter().sum::<f64>()
             };
             classes.values().map(of).sum()
         };
-        let fits = (0..=1000).rev().find(|s| takes(*s) <= can);
+        let fits = (0..=1000).rev().find(|s| required(*s) <= available);
         Some(Least {
             share: group.share(),
             name: match *what {
@@ -366,13 +371,13 @@
     }
 
     /// Returns the violations at the end of the scenario.
-    pub fn ends(&self, at: u64) -> Vec<Breach> {
-        let Some(asked) = self.asked else {
+    pub fn violations(&self, at: u64) -> Vec<Breach> {
+        let Some(target) = self.target else {
             return Vec::new();
         };
-        let groups = self.groups((asked.within_s * 1000.0) as u64, at);
+        let groups = self.groups((target.within_s * 1000.0) as u64, at);
         let mut breaches = Vec::new();
-        if let (Some(begin_s), Some((ms, id))) = (asked.begin_s, self.longest_start(at))
+        if let (Some(begin_s), Some((ms, id))) = (target.begin_s, self.longest_start(at))
             && ms as f64 > begin_s * 1000.0
         {
             breaches.push(Breach {
@@ -387,16 +392,16 @@
             });
         }
         for ((what, name), g) in &groups {
-            if g.share() >= asked.share {
+            if g.share() >= target.share {
                 continue;
             }
-            let lacks = (asked.share * g.wanted as f64).ceil() as usize - g.served;
+            let lacks = (target.share * g.wanted as f64).ceil() as usize - g.served;
             let mut missing = g.missing.clone();
             missing.sort_by(f64::total_cmp);
             let needs: f64 = missing.iter().take(lacks).sum();
             // What the other groups of its kind got beyond the share asked for.
             let others = groups.iter().filter(|(k, _)| k.0 == *what && k.1 != *name);
-            let spare = |g: &Group| g.got * (1.0 - asked.share / g.share().max(asked.share));
+            let spare = |g: &Group| g.got * (1.0 - target.share / g.share().max(target.share));
             let spare: f64 = others.map(|(_, g)| spare(g)).sum();
             if spare >= needs {
                 breaches.push(Breach {
@@ -408,7 +413,7 @@
                     why: format!(
                         "{} of {} jobs done within {} s, {:.0} CPU s short while others had \
                          {spare:.0} beyond their part; first submitted",
-                        g.served, g.wanted, asked.within_s, needs
+                        g.served, g.wanted, target.within_s, needs
                     ),
                 });
             }
--- a/crates/checker/src/waiting.rs
+++ b/crates/checker/src/waiting.rs
@@ -1,16 +1,16 @@
 //! Finds jobs that are left waiting: a suitable machine has had capacity, and the team has been
 //! under its limit by the size of a task, for all the time in which no task of the job started.
 
-use crate::breach::{Breach, Rule};
-use crate::calm::Calm;
+use crate::capacity::{FreeCapacity, Size};
 use crate::history::{Event, Job, Off, State, What, job_of};
-use crate::room::{Rooms, Size};
+use crate::quiet_periods::QuietPeriods;
+use crate::violation::{Breach, Rule};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time from which a wait although there is capacity is too long, in ms.
 pub const LEFT_WAITING_MS: u64 = 90_000;
 /// Time between two scans of all waiting jobs, in ms.
-const LOOK_MS: u64 = 2_000;
+const SCAN_INTERVAL_MS: u64 = 2_000;
 
 /// A wait of a job although there was capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,10 +29,10 @@
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenJob {
     job: Job,
     size: Size,
-    /// The number of its size in `rooms`.
+    /// The number of its size in `capacity`.
     number: usize,
     accepted: bool,
     /// Whether the user still wants the job: no cancellation was requested or reported.
@@ -46,43 +46,43 @@
 
 /// Requirements of a job on a machine: number of its size, machine types, zone, and whether
 /// spot machines are allowed.
-type Needs<'a> = (usize, &'a Option<Vec<String>>, &'a Option<String>, bool);
+type Requirements<'a> = (usize, &'a Option<Vec<String>>, &'a Option<String>, bool);
 /// Cache of one scan: for each set of requirements, the machine that has had capacity longest,
 /// and since when.
-type Machines<'a> = BTreeMap<Needs<'a>, Option<(u64, &'a str)>>;
+type ScanCache<'a> = BTreeMap<Requirements<'a>, Option<(u64, &'a str)>>;
 
 /// Tracks the waits of all accepted jobs.
 #[derive(Debug, Default)]
 pub struct Waiting {
-    rooms: Rooms,
-    open: BTreeMap<String, Open>,
+    capacity: FreeCapacity,
+    open: BTreeMap<String, OpenJob>,
     /// Jobs of which all tasks are done.
     finished: BTreeSet<String>,
     /// Jobs with failed tasks, which are retried with growing delays: their waits do not count.
     failing: BTreeSet<String>,
-    calm: Calm,
-    looked_ms: u64,
+    quiet_periods: QuietPeriods,
+    scanned_ms: u64,
     /// The longest wait of each job since the last fault.
-    now: BTreeMap<String, Wait>,
+    current: BTreeMap<String, Wait>,
     /// The longest wait of each job in earlier quiet periods.
-    before: BTreeMap<String, Wait>,
+    earlier: BTreeMap<String, Wait>,
 }
 
 impl Waiting {
     pub fn feed(&mut self, event: &Event) {
         let at_ms = event.at_ms;
-        if at_ms >= self.looked_ms + LOOK_MS || event.what == What::Ends {
-            self.look(at_ms);
+        if at_ms >= self.scanned_ms + SCAN_INTERVAL_MS || event.what == What::Ends {
+            self.scan(at_ms);
         }
-        if self.calm.feed(event) {
-            self.trouble_begins();
+        if self.quiet_periods.feed(event) {
+            self.end_quiet_period();
         }
         match &event.what {
-            What::Begins { facts, .. } => self.rooms.begin(facts),
+            What::Begins { facts, .. } => self.capacity.configure(facts),
             What::Submitted { job } => self.submitted(job, at_ms),
             What::Told {
                 job, status, state, ..
-            } => self.told(job, *status, *state, at_ms),
+            } => self.response(job, *status, *state, at_ms),
             // A job that its user no longer wants may wait indefinitely.
             What::Unwanted { job } => {
                 if let Some(open) = self.open.get_mut(job) {
@@ -95,18 +95,18 @@
                 zone,
                 spot,
                 ..
-            } => self.rooms.rented(machine, kind, zone, *spot),
-            What::Up { machine } => self.rooms.up(machine, at_ms),
-            What::Notice { machine } => self.rooms.avoid(machine),
-            What::LeaseEnds { machine } => self.empties(machine, at_ms),
+            } => self.capacity.rented(machine, kind, zone, *spot),
+            What::Up { machine } => self.capacity.up(machine, at_ms),
+            What::Notice { machine } => self.capacity.avoid(machine),
+            What::LeaseEnds { machine } => self.release_all(machine, at_ms),
             What::Gone { machine, .. } => {
-                self.empties(machine, at_ms);
-                self.rooms.gone(machine);
+                self.release_all(machine, at_ms);
+                self.capacity.gone(machine);
             }
             What::Starts { machine, task, .. } | What::On { machine, task, .. } => {
-                self.taken(machine, task, at_ms);
+                self.start_accepted(machine, task, at_ms);
             }
-            What::Dropped { machine, task, .. } => self.given(machine, task, at_ms),
+            What::Dropped { machine, task, .. } => self.released(machine, task, at_ms),
             What::Off {
                 machine, task, why, ..
             } => self.off(machine, task, *why, at_ms),
@@ -116,10 +116,10 @@
 
     fn submitted(&mut self, job: &Job, at_ms: u64) {
         let size = Size::of(job);
-        let open = Open {
+        let open = OpenJob {
             job: job.clone(),
             size,
-            number: self.rooms.number(size, at_ms),
+            number: self.capacity.size_number(size, at_ms),
             accepted: false,
             wanted: true,
             since_ms: at_ms,
@@ -129,7 +129,7 @@
         self.open.entry(job.id.clone()).or_insert(open);
     }
 
-    fn told(&mut self, job: &str, status: u16, state: Option<State>, at_ms: u64) {
+    fn response(&mut self, job: &str, status: u16, state: Option<State>, at_ms: u64) {
         let Some(open) = self.open.get_mut(job) else {
             return;
         };
@@ -141,7 +141,7 @@
         }
     }
 
-    fn taken(&mut self, machine: &str, task: &str, at_ms: u64) {
+    fn start_accepted(&mut self, machine: &str, task: &str, at_ms: u64) {
         let Some(open) = self.open.get_mut(job_of(task)) else {
             return;
         };
@@ -149,13 +149,13 @@
         let before = open.placed.insert(task.to_string(), machine.to_string());
         if before.is_none() {
             let team = open.job.team.clone();
-            self.rooms.use_limit(&team, open.size, 1.0, at_ms);
+            self.capacity.add_team_usage(&team, open.size, 1.0, at_ms);
         }
-        self.rooms.take(machine, task, open.size, at_ms);
+        self.capacity.allocate(machine, task, open.size, at_ms);
     }
 
-    fn given(&mut self, machine: &str, task: &str, at_ms: u64) {
-        self.rooms.give(machine, task, at_ms);
+    fn released(&mut self, machine: &str, task: &str, at_ms: u64) {
+        self.capacity.release(machine, task, at_ms);
         let Some(open) = self.open.get_mut(job_of(task)) else {
             return;
         };
@@ -164,15 +164,15 @@
             // A task that lost its placement waits from now on.
             open.since_ms = at_ms;
             let team = open.job.team.clone();
-            self.rooms.use_limit(&team, open.size, -1.0, at_ms);
+            self.capacity.add_team_usage(&team, open.size, -1.0, at_ms);
         }
     }
 
     fn off(&mut self, machine: &str, task: &str, why: Off, at_ms: u64) {
-        self.given(machine, task, at_ms);
+        self.released(machine, task, at_ms);
         let id = job_of(task);
         if why == Off::Error {
-            self.rooms.avoid(machine);
+            self.capacity.avoid(machine);
             self.failing.insert(id.to_string());
         }
         if why != Off::Done {
@@ -188,49 +188,49 @@
     }
 
     /// Releases all tasks of a machine.
-    fn empties(&mut self, machine: &str, at_ms: u64) {
-        for task in self.rooms.tasks(machine) {
-            self.given(machine, &task, at_ms);
+    fn release_all(&mut self, machine: &str, at_ms: u64) {
+        for task in self.capacity.tasks(machine) {
+            self.released(machine, &task, at_ms);
         }
     }
 
     /// Moves the waits found until now to those of earlier quiet periods.
-    fn trouble_begins(&mut self) {
-        for (job, wait) in std::mem::take(&mut self.now) {
-            keep_longer(&mut self.before, job, wait);
+    fn end_quiet_period(&mut self) {
+        for (job, wait) in std::mem::take(&mut self.current) {
+            keep_longer(&mut self.earlier, job, wait);
         }
     }
 
     /// Measures the wait of each job for which there is capacity, as of now.
-    fn look(&mut self, at_ms: u64) {
-        self.looked_ms = at_ms;
-        let Some(calm_since_ms) = self.calm.since_ms() else {
+    fn scan(&mut self, at_ms: u64) {
+        self.scanned_ms = at_ms;
+        let Some(quiet_since_ms) = self.quiet_periods.quiet_since_ms() else {
             return;
         };
         let mut found = Vec::new();
-        let mut machines = Machines::new();
+        let mut cache = ScanCache::new();
         for (id, open) in &self.open {
-            if let Some((since_ms, machine)) = self.beside_room(open, &mut machines)
-                && at_ms > since_ms.max(calm_since_ms)
+            if let Some((since_ms, machine)) = self.waiting_since(open, &mut cache)
+                && at_ms > since_ms.max(quiet_since_ms)
             {
                 found.push(Wait {
                     job: id.clone(),
                     machine: machine.to_string(),
-                    since_ms: since_ms.max(calm_since_ms),
+                    since_ms: since_ms.max(quiet_since_ms),
                     until_ms: at_ms,
                 });
             }
         }
         for wait in found {
-            keep_longer(&mut self.now, wait.job.clone(), wait);
+            keep_longer(&mut self.current, wait.job.clone(), wait);
         }
     }
 
     /// Returns since when the job has waited although there was capacity, and on which machine.
-    fn beside_room<'a>(
+    fn waiting_since<'a>(
         &'a self,
-        open: &'a Open,
-        machines: &mut Machines<'a>,
+        open: &'a OpenJob,
+        cache: &mut ScanCache<'a>,
     ) -> Option<(u64, &'a str)> {
         let job = &open.job;
         let waiting = job.tasks as usize > open.done.len() + open.placed.len();
@@ -238,34 +238,34 @@
         if !open.accepted || !open.wanted || !waiting || !ready || self.failing.contains(&job.id) {
             return None;
         }
-        let team_ms = self.rooms.team_since_ms(&job.team, open.number)?;
+        let team_ms = self.capacity.team_free_since_ms(&job.team, open.number)?;
         let (only_zone, full_zones) = self.zones(open);
-        let look = || {
-            let rooms = &self.rooms;
-            rooms.machine_since_ms(job, open.number, &full_zones, only_zone)
+        let search = || {
+            let capacity = &self.capacity;
+            capacity.machine_free_since_ms(job, open.number, &full_zones, only_zone)
         };
-        let (room_ms, machine) = if only_zone.is_some() || !full_zones.is_empty() {
-            look()?
+        let (machine_ms, machine) = if only_zone.is_some() || !full_zones.is_empty() {
+            search()?
         } else {
-            let needs = (open.number, &job.kinds, &job.zone, job.spot);
-            (*machines.entry(needs).or_insert_with(look))?
+            let requirements = (open.number, &job.kinds, &job.zone, job.spot);
+            (*cache.entry(requirements).or_insert_with(search))?
         };
         // The time at which the last task of the last job that it needs ended.
         let ready_ms = job
             .needs
             .iter()
             .filter_map(|id| Some(self.open.get(id)?.since_ms));
-        let since_ms = open.since_ms.max(team_ms).max(room_ms);
+        let since_ms = open.since_ms.max(team_ms).max(machine_ms);
         Some((since_ms.max(ready_ms.max().unwrap_or(0)), machine))
     }
 
     /// Returns the only zone that the job may use, if it is bound to one, and the zones that
     /// already have as many of its tasks as allowed, given where its tasks are.
-    fn zones(&self, open: &Open) -> (Option<&str>, BTreeSet<&str>) {
+    fn zones(&self, open: &OpenJob) -> (Option<&str>, BTreeSet<&str>) {
         let zones = || {
             open.placed
                 .values()
-                .filter_map(|name| self.rooms.zone(name))
+                .filter_map(|name| self.capacity.zone(name))
         };
         let only = zones().next().filter(|_| open.job.one_zone);
         let mut full = BTreeSet::new();
@@ -283,7 +283,7 @@
     /// Returns the longest wait of a job although there was capacity while no fault was active,
     /// in ms.
     pub fn longest_ms(&self, job: &str) -> u64 {
-        let waits = [self.now.get(job), self.before.get(job)];
+        let waits = [self.current.get(job), self.earlier.get(job)];
         waits
             .into_iter()
             .flatten()
@@ -295,7 +295,7 @@
     /// Returns waits before the last fault that were too long; reported, but no violations.
     pub fn earlier(&self) -> Vec<Wait> {
         let too_long = |wait: &&Wait| wait.length_ms() >= LEFT_WAITING_MS;
-        self.before.values().filter(too_long).cloned().collect()
+        self.earlier.values().filter(too_long).cloned().collect()
     }
 
     /// Returns a violation for each job left waiting once all faults were over; for use at the
@@ -311,7 +311,7 @@
             why: "left waiting with capacity there and its team under its limit; the wait began"
                 .into(),
         };
-        self.now.values().filter(too_long).map(breach).collect()
+        self.current.values().filter(too_long).map(breach).collect()
     }
 }
 
--- a/crates/checker/tests/checker.rs
+++ b/crates/checker/tests/checker.rs
@@ -58,10 +58,13 @@
 }
 
 /// A history under construction, with the current time in ms.
-struct Scenario(History, u64);
+struct HistoryBuilder {
+    history: History,
+    at_ms: u64,
+}
 
-impl Scenario {
-    fn new() -> Scenario {
+impl HistoryBuilder {
+    fn new() -> HistoryBuilder {
         let mut h = History::default();
         let scenario = "test".to_string();
         let facts = facts();
@@ -73,9 +76,12 @@
                 facts,
             },
         );
-        let mut n = Scenario(h, 0);
+        let mut builder = HistoryBuilder {
+            history: h,
+            at_ms: 0,
+        };
         for (name, zone, spot) in [("vm-1", "a", true), ("vm-2", "b", false)] {
-            n.0.record(
+            builder.history.record(
                 0,
                 What::Rented {
                     machine: name.into(),
@@ -86,27 +92,33 @@
                 },
             );
         }
-        n
+        builder
     }
 
     /// Sets the time, in s.
-    fn at(&mut self, s: u64) -> &mut Scenario {
-        self.1 = s * 1000;
+    fn at(&mut self, s: u64) -> &mut HistoryBuilder {
+        self.at_ms = s * 1000;
         self
     }
 
-    fn add(&mut self, what: What) -> &mut Scenario {
-        self.0.record(self.1, what);
+    fn add(&mut self, what: What) -> &mut HistoryBuilder {
+        self.history.record(self.at_ms, what);
         self
     }
 
-    fn submit(&mut self, job: Job) -> &mut Scenario {
+    fn submit(&mut self, job: Job) -> &mut HistoryBuilder {
         self.add(What::Submitted { job })
     }
 
     /// Adds a response received 100 ms after its request was sent.
-    fn told(&mut self, ask: Ask, job: &str, status: u16, state: Option<State>) -> &mut Scenario {
-        let sent_ms = self.1.saturating_sub(100);
+    fn response(
+        &mut self,
+        ask: Ask,
+        job: &str,
+        status: u16,
+        state: Option<State>,
+    ) -> &mut HistoryBuilder {
+        let sent_ms = self.at_ms.saturating_sub(100);
         self.add(What::Told {
             ask,
             job: job.into(),
@@ -117,13 +129,13 @@
         })
     }
 
-    fn accepted(&mut self, job: Job) -> &mut Scenario {
+    fn accepted(&mut self, job: Job) -> &mut HistoryBuilder {
         let id = job.id.clone();
         self.submit(job)
-            .told(Ask::Submit, &id, 201, Some(State::Queued))
+            .response(Ask::Submit, &id, 201, Some(State::Queued))
     }
 
-    fn on(&mut self, machine: &str, task: &str) -> &mut Scenario {
+    fn on(&mut self, machine: &str, task: &str) -> &mut HistoryBuilder {
         self.add(What::On {
             machine: machine.into(),
             task: task.into(),
@@ -131,7 +143,7 @@
         })
     }
 
-    fn off(&mut self, machine: &str, task: &str, why: Off, kept_s: f64) -> &mut Scenario {
+    fn off(&mut self, machine: &str, task: &str, why: Off, kept_s: f64) -> &mut HistoryBuilder {
         self.add(What::Off {
             machine: machine.into(),
             task: task.into(),
@@ -141,14 +153,14 @@
         })
     }
 
-    fn poll(&mut self, job: &str, state: State) -> &mut Scenario {
-        self.told(Ask::Poll, job, 200, Some(state))
+    fn poll(&mut self, job: &str, state: State) -> &mut HistoryBuilder {
+        self.response(Ask::Poll, job, 200, Some(state))
     }
 
     /// Asserts that there is exactly one violation, of this rule, and returns its message.
-    fn only(&mut self, rule: Rule) -> String {
+    fn assert_only(&mut self, rule: Rule) -> String {
         self.add(What::Ends);
-        let checker = Checker::of(&self.0.events);
+        let checker = Checker::of(&self.history.events);
         let rules: Vec<Rule> = checker.breaches.iter().map(|b| b.rule).collect();
         assert_eq!(rules, [rule], "{:#?}", checker.breaches);
         checker.breaches[0].to_string()
@@ -156,215 +168,233 @@
 }
 
 #[test]
-fn a_quiet_scenario_breaks_nothing() {
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 1));
-    n.at(2).on("vm-1", "wk-000001/0");
-    n.at(9).off("vm-1", "wk-000001/0", Off::Done, 7.0);
-    n.at(10).poll("wk-000001", State::Done).add(What::Ends);
-    assert!(Checker::of(&n.0.events).breaches.is_empty());
-    let ends = settle::settle(&n.0.events);
+fn a_job_that_runs_to_its_end_violates_no_rule() {
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 1));
+    builder.at(2).on("vm-1", "wk-000001/0");
+    builder.at(9).off("vm-1", "wk-000001/0", Off::Done, 7.0);
+    builder
+        .at(10)
+        .poll("wk-000001", State::Done)
+        .add(What::Ends);
+    assert!(Checker::of(&builder.history.events).breaches.is_empty());
+    let ends = settle::settle(&builder.history.events);
     assert_eq!(ends["wk-000001"].end, End::Done);
 }
 
 #[test]
 fn ran_twice_names_task_machines_and_times() {
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 2));
-    n.at(5).on("vm-1", "wk-000001/0");
-    n.at(8).on("vm-2", "wk-000001/0");
-    let told = n.only(Rule::RanTwice);
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 2));
+    builder.at(5).on("vm-1", "wk-000001/0");
+    builder.at(8).on("vm-2", "wk-000001/0");
+    let message = builder.assert_only(Rule::RanTwice);
     for part in ["ran_twice", "wk-000001/0", "vm-2 at 8.000", "vm-1", "5.000"] {
-        assert!(told.contains(part), "{told}");
+        assert!(message.contains(part), "{message}");
     }
     // Once the task is off the machine, another one may start it.
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 2));
-    n.at(5).on("vm-1", "wk-000001/0");
-    n.at(6).off("vm-1", "wk-000001/0", Off::Lease, 0.0);
-    n.at(8).on("vm-2", "wk-000001/0").add(What::Ends);
-    assert!(Checker::of(&n.0.events).breaches.is_empty());
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 2));
+    builder.at(5).on("vm-1", "wk-000001/0");
+    builder.at(6).off("vm-1", "wk-000001/0", Off::Lease, 0.0);
+    builder.at(8).on("vm-2", "wk-000001/0").add(What::Ends);
+    assert!(Checker::of(&builder.history.events).breaches.is_empty());
 }
 
 #[test]
-fn quota_counts_what_is_on_machines() {
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 4));
+fn quota_counts_tasks_on_machines() {
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 4));
     for (s, task) in [(2, 0), (3, 1), (4, 2)] {
-        n.at(s).on("vm-1", &format!("wk-000001/{task}"));
+        builder.at(s).on("vm-1", &format!("wk-000001/{task}"));
     }
-    n.at(5).off("vm-1", "wk-000001/0", Off::Done, 3.0);
-    n.at(6).on("vm-1", "wk-000001/0");
-    n.at(7).on("vm-2", "wk-000001/3");
-    let told = n.only(Rule::Quota);
+    builder.at(5).off("vm-1", "wk-000001/0", Off::Done, 3.0);
+    builder.at(6).on("vm-1", "wk-000001/0");
+    builder.at(7).on("vm-2", "wk-000001/3");
+    let message = builder.assert_only(Rule::Quota);
     for part in ["wk-000001/3", "vm-2 at 7.000", "8 of 6", "6.000"] {
-        assert!(told.contains(part), "{told}");
+        assert!(message.contains(part), "{message}");
     }
     // The team `guest` has no limit.
-    let mut n = Scenario::new();
+    let mut builder = HistoryBuilder::new();
     let guest = Job {
         team: "guest".into(),
         ..job("wk-000001", 9)
     };
-    n.at(1).accepted(guest);
+    builder.at(1).accepted(guest);
     for i in 0..9 {
-        n.at(2).on("vm-1", &format!("wk-000001/{i}"));
+        builder.at(2).on("vm-1", &format!("wk-000001/{i}"));
     }
-    n.add(What::Ends);
-    assert!(Checker::of(&n.0.events).breaches.is_empty());
+    builder.add(What::Ends);
+    assert!(Checker::of(&builder.history.events).breaches.is_empty());
 }
 
 #[test]
-fn wrong_place_checks_type_zone_kind_and_the_other_tasks() {
+fn wrong_place_checks_type_zone_spot_and_other_tasks() {
     let with = |change: &dyn Fn(&mut Job)| {
         let mut j = job("wk-000001", 3);
         change(&mut j);
-        let mut n = Scenario::new();
-        n.at(1).accepted(j);
-        n.at(4).on("vm-1", "wk-000001/0");
-        n
+        let mut builder = HistoryBuilder::new();
+        builder.at(1).accepted(j);
+        builder.at(4).on("vm-1", "wk-000001/0");
+        builder
     };
-    let told = with(&|j| j.kinds = Some(vec!["m8".into()])).only(Rule::WrongPlace);
-    assert!(told.contains("wk-000001/0 on vm-1 at 4.000") && told.contains("m4"));
-    with(&|j| j.zone = Some("b".into())).only(Rule::WrongPlace);
-    with(&|j| j.spot = false).only(Rule::WrongPlace);
-    let mut n = with(&|j| j.one_zone = true);
-    let told = n.at(6).on("vm-2", "wk-000001/1").only(Rule::WrongPlace);
+    let message = with(&|j| j.kinds = Some(vec!["m8".into()])).assert_only(Rule::WrongPlace);
+    assert!(message.contains("wk-000001/0 on vm-1 at 4.000") && message.contains("m4"));
+    with(&|j| j.zone = Some("b".into())).assert_only(Rule::WrongPlace);
+    with(&|j| j.spot = false).assert_only(Rule::WrongPlace);
+    let mut builder = with(&|j| j.one_zone = true);
+    let message = builder
+        .at(6)
+        .on("vm-2", "wk-000001/1")
+        .assert_only(Rule::WrongPlace);
     assert!(
-        told.contains("vm-2 at 6.000") && told.contains("at 4.000"),
-        "{told}"
+        message.contains("vm-2 at 6.000") && message.contains("at 4.000"),
+        "{message}"
     );
     // At most 2 of 3 tasks may be in one zone.
-    let mut n = with(&|j| j.spread = true);
-    n.at(6).on("vm-1", "wk-000001/1");
-    n.at(7).on("vm-1", "wk-000001/2").only(Rule::WrongPlace);
+    let mut builder = with(&|j| j.spread = true);
+    builder.at(6).on("vm-1", "wk-000001/1");
+    builder
+        .at(7)
+        .on("vm-1", "wk-000001/2")
+        .assert_only(Rule::WrongPlace);
 }
 
 #[test]
-fn ran_cancelled_counts_from_the_telling() {
+fn ran_cancelled_counts_from_the_response_to_the_user() {
     let cancelled = || {
-        let mut n = Scenario::new();
-        n.at(1).accepted(job("wk-000001", 2));
-        n.at(3).on("vm-1", "wk-000001/0");
-        n.at(10).add(What::Unwanted {
+        let mut builder = HistoryBuilder::new();
+        builder.at(1).accepted(job("wk-000001", 2));
+        builder.at(3).on("vm-1", "wk-000001/0");
+        builder.at(10).add(What::Unwanted {
             job: "wk-000001".into(),
         });
-        n.at(11)
-            .told(Ask::Cancel, "wk-000001", 200, Some(State::Cancelled));
-        n
+        builder
+            .at(11)
+            .response(Ask::Cancel, "wk-000001", 200, Some(State::Cancelled));
+        builder
     };
-    let mut n = cancelled();
-    n.at(51)
+    let mut builder = cancelled();
+    builder
+        .at(51)
         .off("vm-1", "wk-000001/0", Off::Stopped, 0.0)
         .add(What::Ends);
     assert!(
-        Checker::of(&n.0.events).breaches.is_empty(),
+        Checker::of(&builder.history.events).breaches.is_empty(),
         "the task is gone 40 s after the response"
     );
-    let mut n = cancelled();
-    n.at(52).off("vm-1", "wk-000001/0", Off::Stopped, 0.0);
-    let told = n.only(Rule::RanCancelled);
+    let mut builder = cancelled();
+    builder.at(52).off("vm-1", "wk-000001/0", Off::Stopped, 0.0);
+    let message = builder.assert_only(Rule::RanCancelled);
     assert!(
-        told.contains("vm-1 at 51.000") && told.contains("11.000"),
-        "{told}"
+        message.contains("vm-1 at 51.000") && message.contains("11.000"),
+        "{message}"
     );
-    let mut n = cancelled();
-    n.at(12).off("vm-1", "wk-000001/0", Off::Stopped, 0.0);
-    n.at(60)
+    let mut builder = cancelled();
+    builder.at(12).off("vm-1", "wk-000001/0", Off::Stopped, 0.0);
+    builder
+        .at(60)
         .on("vm-2", "wk-000001/1")
         .at(61)
         .off("vm-2", "wk-000001/1", Off::Stopped, 0.0);
-    n.only(Rule::RanCancelled);
-    let mut n = cancelled();
-    n.at(70).only(Rule::RanCancelled);
+    builder.assert_only(Rule::RanCancelled);
+    let mut builder = cancelled();
+    builder.at(70).assert_only(Rule::RanCancelled);
 }
 
 #[test]
-fn forgotten_is_a_404_a_refused_repeat_or_silence_for_one() {
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 1));
-    n.at(2).on("vm-1", "wk-000001/0");
-    let told = n
+fn forgotten_covers_404_a_refused_resubmission_and_failing_queries() {
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 1));
+    builder.at(2).on("vm-1", "wk-000001/0");
+    let message = builder
         .at(9)
-        .told(Ask::Poll, "wk-000001", 404, None)
-        .only(Rule::Forgotten);
+        .response(Ask::Poll, "wk-000001", 404, None)
+        .assert_only(Rule::Forgotten);
     assert!(
-        told.contains("n1 at 9.000") && told.contains("1.000"),
-        "{told}"
+        message.contains("n1 at 9.000") && message.contains("1.000"),
+        "{message}"
     );
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 1));
-    n.at(2).on("vm-1", "wk-000001/0");
-    n.at(9).told(Ask::Submit, "wk-000001", 422, None);
-    n.only(Rule::Forgotten);
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 1));
+    builder.at(2).on("vm-1", "wk-000001/0");
+    builder.at(9).response(Ask::Submit, "wk-000001", 422, None);
+    builder.assert_only(Rule::Forgotten);
     // Failing status queries for 90 s count if and only if most others succeed, also while a
     // fault is active.
     for others in [true, false] {
-        let mut n = Scenario::new();
-        n.at(1).add(What::Trouble {
+        let mut builder = HistoryBuilder::new();
+        builder.at(1).add(What::Trouble {
             trouble: "state_outage".into(),
             on: true,
         });
-        n.at(1).accepted(job("wk-000001", 1));
-        n.at(1).accepted(job("wk-000002", 1));
-        n.at(2).on("vm-1", "wk-000001/0");
+        builder.at(1).accepted(job("wk-000001", 1));
+        builder.at(1).accepted(job("wk-000002", 1));
+        builder.at(2).on("vm-1", "wk-000001/0");
         for s in (5..=100).step_by(5) {
-            n.at(s).told(Ask::Poll, "wk-000001", 0, None);
+            builder.at(s).response(Ask::Poll, "wk-000001", 0, None);
             for _ in 0..2 {
                 let (status, state) = if others {
                     (200, Some(State::Queued))
                 } else {
                     (503, None)
                 };
-                n.told(Ask::Poll, "wk-000002", status, state);
+                builder.response(Ask::Poll, "wk-000002", status, state);
             }
         }
         if others {
-            n.only(Rule::Forgotten);
+            builder.assert_only(Rule::Forgotten);
         } else {
-            n.add(What::Ends);
-            assert!(Checker::of(&n.0.events).breaches.is_empty());
+            builder.add(What::Ends);
+            assert!(Checker::of(&builder.history.events).breaches.is_empty());
         }
     }
 }
 
 #[test]
-fn invented_not_done_and_went_back() {
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 1));
-    n.at(2).on("vm-1", "wk-000001/0");
-    let told = n
+fn invented_not_done_and_went_back_are_found() {
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 1));
+    builder.at(2).on("vm-1", "wk-000001/0");
+    let message = builder
         .at(7)
         .poll("wk-999999", State::Queued)
-        .only(Rule::Invented);
+        .assert_only(Rule::Invented);
     assert!(
-        told.contains("wk-999999") && told.contains("7.000"),
-        "{told}"
+        message.contains("wk-999999") && message.contains("7.000"),
+        "{message}"
     );
 
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 2));
-    n.at(2).on("vm-1", "wk-000001/0");
-    n.at(3).off("vm-1", "wk-000001/0", Off::Done, 1.0);
-    let told = n.at(4).poll("wk-000001", State::Done).only(Rule::NotDone);
-    assert!(told.contains("1 of 2"), "{told}");
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 2));
+    builder.at(2).on("vm-1", "wk-000001/0");
+    builder.at(3).off("vm-1", "wk-000001/0", Off::Done, 1.0);
+    let message = builder
+        .at(4)
+        .poll("wk-000001", State::Done)
+        .assert_only(Rule::NotDone);
+    assert!(message.contains("1 of 2"), "{message}");
 
     let done = || {
-        let mut n = Scenario::new();
-        n.at(1).accepted(job("wk-000001", 1));
-        n.at(2).on("vm-1", "wk-000001/0");
-        n.at(3).off("vm-1", "wk-000001/0", Off::Done, 1.0);
-        n.at(4).poll("wk-000001", State::Done);
-        n
+        let mut builder = HistoryBuilder::new();
+        builder.at(1).accepted(job("wk-000001", 1));
+        builder.at(2).on("vm-1", "wk-000001/0");
+        builder.at(3).off("vm-1", "wk-000001/0", Off::Done, 1.0);
+        builder.at(4).poll("wk-000001", State::Done);
+        builder
     };
-    let told = done()
+    let message = done()
         .at(9)
         .poll("wk-000001", State::Running)
-        .only(Rule::WentBack);
-    assert!(told.contains("9.000") && told.contains("4.000"), "{told}");
+        .assert_only(Rule::WentBack);
+    assert!(
+        message.contains("9.000") && message.contains("4.000"),
+        "{message}"
+    );
     // Sent before the user was told of the end: the older state is no violation.
-    let mut n = done();
-    n.add(What::Told {
+    let mut builder = done();
+    builder.add(What::Told {
         ask: Ask::Poll,
         job: "wk-000001".into(),
         sent_ms: 3500,
@@ -372,43 +402,44 @@
         state: Some(State::Running),
         node: "n2".into(),
     });
-    n.add(What::Ends);
-    assert!(Checker::of(&n.0.events).breaches.is_empty());
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 1));
-    n.at(2).on("vm-1", "wk-000001/0");
-    n.at(3).off("vm-1", "wk-000001/0", Off::Stopped, 0.0);
-    n.at(4)
+    builder.add(What::Ends);
+    assert!(Checker::of(&builder.history.events).breaches.is_empty());
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 1));
+    builder.at(2).on("vm-1", "wk-000001/0");
+    builder.at(3).off("vm-1", "wk-000001/0", Off::Stopped, 0.0);
+    builder
+        .at(4)
         .poll("wk-000001", State::Cancelled)
-        .only(Rule::WentBack);
+        .assert_only(Rule::WentBack);
 }
 
 #[test]
-fn nothing_ran_is_a_breach_of_its_own() {
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 1));
-    n.at(300).only(Rule::NothingRan);
+fn nothing_ran_is_a_violation_of_its_own() {
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 1));
+    builder.at(300).assert_only(Rule::NothingRan);
 }
 
 #[test]
-fn every_job_settles_in_exactly_one_way() {
-    let mut n = Scenario::new();
-    n.at(1).submit(job("wk-000001", 1));
-    n.told(Ask::Submit, "wk-000001", 422, None);
-    n.submit(job("wk-000002", 1));
-    n.told(Ask::Submit, "wk-000002", 503, None);
-    n.at(61).add(What::GaveUp {
+fn every_job_has_exactly_one_outcome() {
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).submit(job("wk-000001", 1));
+    builder.response(Ask::Submit, "wk-000001", 422, None);
+    builder.submit(job("wk-000002", 1));
+    builder.response(Ask::Submit, "wk-000002", 503, None);
+    builder.at(61).add(What::GaveUp {
         job: "wk-000002".into(),
     });
-    n.accepted(job("wk-000003", 1));
-    n.accepted(job("wk-000004", 1)).add(What::Unwanted {
+    builder.accepted(job("wk-000003", 1));
+    builder.accepted(job("wk-000004", 1)).add(What::Unwanted {
         job: "wk-000004".into(),
     });
-    n.told(Ask::Cancel, "wk-000004", 200, Some(State::Cancelled));
-    n.submit(job("wk-000005", 1));
-    n.told(Ask::Submit, "wk-000005", 422, None);
-    n.on("vm-1", "wk-000005/0");
-    let ends = settle::settle(&n.0.events);
+    builder.response(Ask::Cancel, "wk-000004", 200, Some(State::Cancelled));
+    builder.submit(job("wk-000005", 1));
+    builder.response(Ask::Submit, "wk-000005", 422, None);
+    builder.on("vm-1", "wk-000005/0");
+    let ends = settle::settle(&builder.history.events);
     let end = |id: &str| ends[id].end;
     assert_eq!(end("wk-000001"), End::Refused);
     assert_eq!(end("wk-000002"), End::NeverAccepted);
@@ -419,8 +450,8 @@
 }
 
 #[test]
-fn aims_price_and_useful_work_are_counted_as_the_page_says() {
-    let mut n = Scenario::new();
+fn objectives_price_and_useful_work_follow_the_protocol_page() {
+    let mut builder = HistoryBuilder::new();
     let mut f = facts();
     f.aims = vec![
         Aim::Wait {
@@ -440,32 +471,36 @@
         Aim::Useful { share: 0.4 },
         Aim::Price { most: 3.0 },
     ];
-    n.add(What::Begins {
+    builder.add(What::Begins {
         scenario: "test".into(),
         seed: 1,
         facts: f,
     });
-    n.at(0).submit(job("wk-000001", 2));
-    n.at(2)
-        .told(Ask::Submit, "wk-000001", 201, Some(State::Queued));
-    n.at(4).on("vm-1", "wk-000001/0").on("vm-1", "wk-000001/1");
+    builder.at(0).submit(job("wk-000001", 2));
+    builder
+        .at(2)
+        .response(Ask::Submit, "wk-000001", 201, Some(State::Queued));
+    builder
+        .at(4)
+        .on("vm-1", "wk-000001/0")
+        .on("vm-1", "wk-000001/1");
     // Stopped within 30 s: that start does not count, the next one does.
-    n.at(8).add(What::Stops {
+    builder.at(8).add(What::Stops {
         machine: "vm-1".into(),
         task: "wk-000001/1".into(),
     });
-    n.off("vm-1", "wk-000001/1", Off::Stopped, 0.0);
-    n.at(10).on("vm-1", "wk-000001/1");
-    n.at(14).off("vm-1", "wk-000001/0", Off::Done, 10.0);
-    n.at(20).off("vm-1", "wk-000001/1", Off::Done, 10.0);
-    n.at(21).poll("wk-000001", State::Done);
+    builder.off("vm-1", "wk-000001/1", Off::Stopped, 0.0);
+    builder.at(10).on("vm-1", "wk-000001/1");
+    builder.at(14).off("vm-1", "wk-000001/0", Off::Done, 10.0);
+    builder.at(20).off("vm-1", "wk-000001/1", Off::Done, 10.0);
+    builder.at(21).poll("wk-000001", State::Done);
     // 3,600 s of 4 CPUs at 0.9 per hour, with 40 useful CPU-seconds.
-    n.at(3600).add(What::Gone {
+    builder.at(3600).add(What::Gone {
         machine: "vm-1".into(),
         why: "returned".into(),
         cost: 0.9,
     });
-    let a = aims::count(&n.0.events);
+    let a = aims::count(&builder.history.events);
     let got: Vec<(f64, bool)> = a.reached.iter().map(|r| (r.got, r.met)).collect();
     assert_eq!(got[0], (0.5, true), "one of two tasks within 5 s");
     assert_eq!(got[1], (1.0, true));
@@ -479,28 +514,32 @@
 }
 
 #[test]
-fn a_history_reads_back_with_its_digest() {
-    let mut n = Scenario::new();
-    n.at(1)
+fn a_written_history_reads_back_with_the_same_digest() {
+    let mut builder = HistoryBuilder::new();
+    builder
+        .at(1)
         .accepted(job("wk-000001", 1))
         .on("vm-1", "wk-000001/0");
     let mut out = Vec::new();
-    n.0.write(&mut out).unwrap();
+    builder.history.write(&mut out).unwrap();
     let text = String::from_utf8(out).unwrap();
     let again = History::read(&text).unwrap();
-    assert_eq!(again.digest(), n.0.digest());
-    assert_eq!(again.events, n.0.events);
+    assert_eq!(again.digest(), builder.history.digest());
+    assert_eq!(again.events, builder.history.events);
     let other = text.replacen("vm-1", "vm-3", 1);
-    assert_ne!(History::read(&other).unwrap().digest(), n.0.digest());
+    assert_ne!(
+        History::read(&other).unwrap().digest(),
+        builder.history.digest()
+    );
     let err = History::read("{\"at_ms\":1}").unwrap_err();
     assert!(err.contains("line 1"), "{err}");
 }
 
 /// Two classes with ten jobs each, of 10 CPU seconds. `first` jobs of one class and `second` of
 /// the other are done in time, and the rest late or never.
-fn served(first: u32, second: u32, asked: Option<Served>) -> Scenario {
-    let mut n = Scenario::new();
-    if let What::Begins { facts, .. } = &mut n.0.events[0].what {
+fn served(first: u32, second: u32, asked: Option<Served>) -> HistoryBuilder {
+    let mut builder = HistoryBuilder::new();
+    if let What::Begins { facts, .. } = &mut builder.history.events[0].what {
         facts.served = asked;
     }
     for (class, done) in [("rich", first), ("poor", second)] {
@@ -512,51 +551,51 @@
                 tasks: 1,
                 ..job(&id, 1)
             };
-            n.at(1).accepted(spec);
+            builder.at(1).accepted(spec);
             let task = format!("{id}/0");
             let at = if i < done { 10 } else { 500 };
             if i < 9 {
-                n.at(at).on("vm-1", &task);
-                n.at(at + 5).off("vm-1", &task, Off::Done, 5.0);
+                builder.at(at).on("vm-1", &task);
+                builder.at(at + 5).off("vm-1", &task, Off::Done, 5.0);
             }
         }
     }
     // A job that its user cancels does not count.
-    n.at(2).submit(Job {
+    builder.at(2).submit(Job {
         class: "poor".into(),
         ..job("wk-999999", 1)
     });
-    n.add(What::Unwanted {
+    builder.add(What::Unwanted {
         job: "wk-999999".into(),
     });
-    n.at(600);
-    n
+    builder.at(600);
+    builder
 }
 
 #[test]
-fn who_starves_is_named_if_what_others_had_would_have_been_enough() {
+fn starvation_is_named_if_the_excess_of_others_would_have_sufficed() {
     let half = Served {
         share: 0.5,
         within_s: 300.0,
         begin_s: None,
     };
     let asked = Some(half);
-    let starved = |mut n: Scenario| {
-        n.add(What::Ends);
-        let all = Checker::of(&n.0.events).breaches;
+    let starved = |mut builder: HistoryBuilder| {
+        builder.add(What::Ends);
+        let all = Checker::of(&builder.history.events).breaches;
         let all = all.into_iter().filter(|b| b.rule == Rule::Starved);
         all.map(|b| b.to_string()).collect::<Vec<_>>()
     };
-    let told = starved(served(9, 2, asked));
-    assert_eq!(told.len(), 2, "{told:?}");
+    let messages = starved(served(9, 2, asked));
+    assert_eq!(messages.len(), 2, "{messages:?}");
     for part in [
         "starved: class poor",
         "2 of 10 jobs done within 300 s",
         "30 CPU s short",
     ] {
-        assert!(told[0].contains(part), "{told:?}");
+        assert!(messages[0].contains(part), "{messages:?}");
     }
-    assert!(told[1].contains("team team-poor"), "{told:?}");
+    assert!(messages[1].contains("team team-poor"), "{messages:?}");
     // No starvation: the share is reached, the others have too little to spare, or the scenario
     // asks for no share.
     assert!(starved(served(9, 5, asked)).is_empty());
@@ -582,85 +621,88 @@
 
 #[test]
 fn too_early_names_the_job_that_is_not_done() {
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 2));
-    n.at(2).accepted(after("wk-000002", &["wk-000001"]));
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 2));
+    builder.at(2).accepted(after("wk-000002", &["wk-000001"]));
     for task in ["wk-000001/0", "wk-000001/1"] {
-        n.at(3).on("vm-1", task);
+        builder.at(3).on("vm-1", task);
     }
-    n.at(9).off("vm-1", "wk-000001/0", Off::Done, 6.0);
-    n.at(10).on("vm-2", "wk-000002/0");
-    let told = n.only(Rule::TooEarly);
+    builder.at(9).off("vm-1", "wk-000001/0", Off::Done, 6.0);
+    builder.at(10).on("vm-2", "wk-000002/0");
+    let message = builder.assert_only(Rule::TooEarly);
     assert!(
-        told.contains("wk-000002/0") && told.contains("before wk-000001"),
-        "{told}"
+        message.contains("wk-000002/0") && message.contains("before wk-000001"),
+        "{message}"
     );
-    let mut n = Scenario::new();
-    n.at(1).accepted(job("wk-000001", 1));
-    n.at(2).accepted(after("wk-000002", &["wk-000001"]));
-    n.at(3).on("vm-1", "wk-000001/0");
-    n.at(9).off("vm-1", "wk-000001/0", Off::Done, 6.0);
-    n.at(9).on("vm-2", "wk-000002/0").add(What::Ends);
-    assert!(Checker::of(&n.0.events).breaches.is_empty());
+    let mut builder = HistoryBuilder::new();
+    builder.at(1).accepted(job("wk-000001", 1));
+    builder.at(2).accepted(after("wk-000002", &["wk-000001"]));
+    builder.at(3).on("vm-1", "wk-000001/0");
+    builder.at(9).off("vm-1", "wk-000001/0", Off::Done, 6.0);
+    builder.at(9).on("vm-2", "wk-000002/0").add(What::Ends);
+    assert!(Checker::of(&builder.history.events).breaches.is_empty());
 }
 
 /// A user is told at 10 s that the job is cancelled. Until `cancel_s` later, jobs that need it,
 /// directly or not, may be reported as queued; they may be reported as cancelled although their
 /// own users never requested it.
 #[test]
-fn orphaned_counts_from_when_a_job_before_it_was_told_cancelled() {
+fn orphaned_counts_from_the_reported_cancellation_of_a_needed_job() {
     let scenario = || {
-        let mut n = Scenario::new();
-        n.at(1).accepted(job("wk-000001", 1));
-        n.at(2).accepted(after("wk-000002", &["wk-000001"]));
-        n.at(3).accepted(after("wk-000003", &["wk-000002"]));
-        n.at(4).on("vm-1", "wk-000001/0");
-        n.at(9).add(What::Unwanted {
+        let mut builder = HistoryBuilder::new();
+        builder.at(1).accepted(job("wk-000001", 1));
+        builder.at(2).accepted(after("wk-000002", &["wk-000001"]));
+        builder.at(3).accepted(after("wk-000003", &["wk-000002"]));
+        builder.at(4).on("vm-1", "wk-000001/0");
+        builder.at(9).add(What::Unwanted {
             job: "wk-000001".into(),
         });
-        n.at(10).off("vm-1", "wk-000001/0", Off::Stopped, 0.0);
-        n.at(10)
-            .told(Ask::Cancel, "wk-000001", 200, Some(State::Cancelled));
-        n
+        builder.at(10).off("vm-1", "wk-000001/0", Off::Stopped, 0.0);
+        builder
+            .at(10)
+            .response(Ask::Cancel, "wk-000001", 200, Some(State::Cancelled));
+        builder
     };
     let cancel_s = facts().cancel_s as u64;
-    let mut n = scenario();
-    n.at(9 + cancel_s).poll("wk-000003", State::Queued);
-    n.at(12 + cancel_s).poll("wk-000003", State::Cancelled);
-    n.add(What::Ends);
-    assert!(Checker::of(&n.0.events).breaches.is_empty());
-    let mut n = scenario();
-    n.at(11 + cancel_s).poll("wk-000003", State::Queued);
-    let told = n.only(Rule::Orphaned);
+    let mut builder = scenario();
+    builder.at(9 + cancel_s).poll("wk-000003", State::Queued);
+    builder
+        .at(12 + cancel_s)
+        .poll("wk-000003", State::Cancelled);
+    builder.add(What::Ends);
+    assert!(Checker::of(&builder.history.events).breaches.is_empty());
+    let mut builder = scenario();
+    builder.at(11 + cancel_s).poll("wk-000003", State::Queued);
+    let message = builder.assert_only(Rule::Orphaned);
     assert!(
-        told.contains("wk-000003") && told.contains("10.000"),
-        "{told}"
+        message.contains("wk-000003") && message.contains("10.000"),
+        "{message}"
     );
 }
 
 /// Of twenty jobs of a class, the two large ones are done late: the class has 0.9 of its jobs
 /// done, but its largest tenth none, and these did not start in time either.
 #[test]
-fn the_largest_jobs_of_a_class_starve_by_themselves() {
+fn starvation_of_the_largest_jobs_of_a_class_is_found() {
     let asked = Served {
         share: 0.5,
         within_s: 300.0,
         begin_s: Some(240.0),
     };
-    let mut n = Scenario::new();
-    if let What::Begins { facts, .. } = &mut n.0.events[0].what {
+    let mut builder = HistoryBuilder::new();
+    if let What::Begins { facts, .. } = &mut builder.history.events[0].what {
         facts.served = Some(asked);
     }
     for i in 0..20u64 {
         let id = format!("wk-{i:06}");
         let tasks = if i < 2 { 40 } else { 2 };
-        n.at(1).accepted(job(&id, tasks));
+        builder.at(1).accepted(job(&id, tasks));
         for t in 0..tasks {
             let task = format!("{id}/{t}");
             let at = if i < 2 { 242 + i } else { 10 };
-            n.at(at).on("vm-1", &task);
+            builder.at(at).on("vm-1", &task);
             let takes = if i < 2 { 400 } else { 100 };
-            n.at(at + takes).off("vm-1", &task, Off::Done, 100.0);
+            builder.at(at + takes).off("vm-1", &task, Off::Done, 100.0);
         }
     }
     // Another class got far more than its part.
@@ -670,17 +712,22 @@
             class: "rich".into(),
             ..job(&id, 60)
         };
-        n.at(1).accepted(rich);
+        builder.at(1).accepted(rich);
         for t in 0..60 {
-            n.at(9).on("vm-2", &format!("{id}/{t}"));
-            n.at(99).off("vm-2", &format!("{id}/{t}"), Off::Done, 90.0);
+            builder.at(9).on("vm-2", &format!("{id}/{t}"));
+            builder
+                .at(99)
+                .off("vm-2", &format!("{id}/{t}"), Off::Done, 90.0);
         }
     }
-    n.at(900).add(What::Ends);
-    let checker = Checker::of(&n.0.events);
-    let told: Vec<String> = checker.breaches.iter().map(|b| b.to_string()).collect();
-    let starved: Vec<&String> = told.iter().filter(|b| b.starts_with("starved")).collect();
-    assert_eq!(starved.len(), 2, "{told:?}");
+    builder.at(900).add(What::Ends);
+    let checker = Checker::of(&builder.history.events);
+    let messages: Vec<String> = checker.breaches.iter().map(|b| b.to_string()).collect();
+    let starved: Vec<&String> = messages
+        .iter()
+        .filter(|b| b.starts_with("starved"))
+        .collect();
+    assert_eq!(starved.len(), 2, "{messages:?}");
     assert!(starved[0].contains("wk-000001") && starved[0].contains("240 s"));
     assert!(
         starved[1].contains("the largest tenth of c on"),
--- a/crates/simulation/src/summary.rs
+++ b/crates/simulation/src/summary.rs
@@ -2,8 +2,8 @@
 
 use crate::play::Outcome;
 use cherrywood_checker::GroupFigures;
+use cherrywood_checker::Share;
 use cherrywood_checker::settle::{End, tally};
-use cherrywood_checker::starved::Share;
 use cherrywood_scenario::Aim;
 use std::fmt::Write as _;
 
