--- a/crates/limits/src/dependencies.rs
+++ b/crates/limits/src/dependencies.rs
@@ -1,29 +1,28 @@
-//! Jobs that depend on others (`waits_on`).
+//! Jobs that depend on other jobs (`waits_on`).
 
-/// Seconds that a stage of a pipeline takes beside its tasks' run time: to be placed,
-/// started and recorded.
+/// Seconds that a stage of a pipeline takes in addition to its tasks' run time: for placement,
+/// start and recording.
 pub const PIPELINE_STAGE_OVERHEAD_S: f64 = 3.0;
 
-/// Seconds between two computations of what pipelines demand, while nothing in them
-/// changes.
+/// Seconds between two computations of the demand of pipelines while the pipelines don't change.
 pub const PIPELINE_DEMAND_INTERVAL_S: f64 = 1.0;
 
-/// Share of `cancel_s` after which a job that a cascading cancellation reached is no longer
+/// Share of `cancel_s` after which a job reached by a cascading cancellation is no longer
 /// reported as queued: if its end is still to be written after many others, its user is asked
-/// to poll again.
+/// to query the status again.
 pub const CASCADING_CANCELLATION_QUEUED_SHARE: f64 = 0.5;
 
-/// Seconds between two checks of how the jobs that others depend on ended.
+/// Seconds between two checks for the ends of jobs that other jobs depend on.
 pub const DEPENDENCY_CHECK_INTERVAL_S: f64 = 0.2;
 
-/// Reads in one such check.
+/// Maximum number of reads in one check for the ends of dependencies.
 pub const DEPENDENCY_CHECK_READS_MAX: usize = 64;
 
-/// Ended jobs up to which they are read one by one instead of by page.
+/// Maximum number of ended jobs that are read one by one instead of by page.
 pub const DEPENDENCY_CHECK_SINGLE_READS_MAX: usize = 4;
 
-/// Seconds before a job of which nothing was found is looked up again.
+/// Seconds before a job of which no record was found is looked up again.
 pub const DEPENDENCY_CHECK_RETRY_S: f64 = 1.0;
 
-/// Live jobs named in one submission's dependencies whose kind is checked.
+/// Maximum number of live jobs named in one submission's dependencies whose kind is checked.
 pub const DEPENDENCY_KIND_CHECKS_MAX: usize = 16;
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,11 +1,11 @@
 //! Every constant of cherrywood, with its quantity and unit in its name and the reason for
-//! its value in its documentation. What the platform's settings file says is never repeated
-//! here.
+//! its value in its documentation. Values that the platform's settings file states are not
+//! repeated here.
 //!
-//! There is a module for each concern. Most modules are private and their constants are at the
-//! root, so that uses read `limits::LEADER_LEASE_S`. Those of the admission controller and of
+//! There is a module for each concern. Most modules are private and their constants are
+//! re-exported at the root, as in `limits::LEADER_LEASE_S`. The constants of the admission controller and of
 //! the key-value store itself are used under their module's name: `store::TXN_BYTES_MAX` is the
-//! store's own limit, `TXN_BYTES_MAX` at the root the lower one that controllers keep to.
+//! store's own limit, `TXN_BYTES_MAX` at the root the lower limit that controllers keep to.
 
 #![deny(missing_docs)]
 
--- a/crates/limits/src/store_limits.rs
+++ b/crates/limits/src/store_limits.rs
@@ -1,20 +1,20 @@
-//! The limits of the key-value store that a controller keeps to.
+//! Limits of the key-value store that a controller keeps to.
 //!
-//! The settings state the limits that hold now and those that hold next. The store may change
-//! from one to the other without notice, so from the start the smaller of the two counts. Only
-//! values that the version in production must be able to read whole are still written up to the
-//! current size limit, until every controller understands chunks.
+//! The settings state the current limits and the next ones. The store may change from the
+//! current to the next limits without notice, so from the start the smaller of the two applies.
+//! Only values that the version in production must be able to read whole are still written up to
+//! the current size limit, until every controller understands chunks.
 
-/// Limits as the settings state them.
+/// Limits as stated in the settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ConfiguredLimits {
     /// Requests per second.
     pub rps: f64,
     /// Changes per second.
     pub write_rps: f64,
-    /// KiB of a value, counted as JSON.
+    /// Maximum KiB of a value, counted as JSON.
     pub value_kb: f64,
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
 }
 
@@ -29,32 +29,32 @@
     }
 }
 
-/// The limits in force, to which everything that writes to the store keeps.
+/// Limits in force, to which everything that writes to the key-value store keeps.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreLimits {
     /// Requests per second, of all controllers together.
     pub rps: f64,
     /// Changes per second, of all controllers together.
     pub write_rps: f64,
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_changes: usize,
-    /// Bytes of a value, counted as JSON.
+    /// Maximum bytes of a value, counted as JSON.
     pub value_bytes: usize,
-    /// Bytes of a value under the current limits.
+    /// Maximum bytes of a value under the current limits.
     current_value_bytes: usize,
-    /// Whether larger values are written in chunks: every controller understands them, or the
-    /// store takes no larger value.
+    /// Whether larger values are written in chunks: every controller understands chunks, or the
+    /// store accepts no larger value.
     chunks_enabled: bool,
 }
 
-/// Bytes of a value below which [`StoreLimits::shrink`] doesn't lower its limit.
+/// Bytes of a value below which [`StoreLimits::shrink`] does not lower the limit.
 const VALUE_BYTES_MIN: usize = 512;
 
-/// Changes in a transaction below which [`StoreLimits::shrink`] doesn't lower their limit.
+/// Changes in a transaction below which [`StoreLimits::shrink`] does not lower the limit.
 const TXN_CHANGES_MIN: usize = 4;
 
 impl StoreLimits {
-    /// The smaller of the limits that hold now and those that may hold next.
+    /// Returns the smaller of the current limits and those that may hold next.
     pub fn new(current: ConfiguredLimits, next: ConfiguredLimits) -> StoreLimits {
         let smaller = current.min(next);
         let bytes = |kb: f64| (kb * 1024.0) as usize;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Bytes up to which a value that the version in production reads is written whole.
+    /// Returns the bytes up to which a value that the version in production reads is written whole.
     pub fn unchunked_value_bytes(&self) -> usize {
         if self.chunks_enabled {
             self.value_bytes
@@ -77,20 +77,20 @@
         }
     }
 
-    /// Whether a value that only helps the next leader may be larger than one record. A
-    /// controller of the previous version reads such a value as empty.
+    /// Returns whether a value that is only a hint for the next leader may be larger than one
+    /// record. A controller of the previous version reads such a value as empty.
     pub fn chunks_enabled(&self) -> bool {
         self.chunks_enabled
     }
 
-    /// Every controller understands chunks.
+    /// Enables chunks, once every controller understands them.
     pub fn enable_chunks(&mut self) {
         self.chunks_enabled = true;
     }
 
-    /// Lowers the limits after the store rejected a transaction as malformed or too large: its
-    /// limits have dropped, to the next ones or, where those are kept to already, further.
-    /// Returns false if nothing can be lowered any more.
+    /// Lowers the limits after the store rejected a transaction as malformed or too large: the
+    /// store's limits have dropped to the next ones or, if those are already kept to, further.
+    /// Returns false if no limit can be lowered any more.
     pub fn shrink(&mut self) -> bool {
         if !self.chunks_enabled && self.current_value_bytes > self.value_bytes {
             self.chunks_enabled = true;
@@ -104,7 +104,7 @@
     }
 }
 
-/// Half of a limit, but not below the minimum unless it is already.
+/// Returns half of a limit, but not less than the minimum unless the limit is already below it.
 fn halved(limit: usize, min: usize) -> usize {
     (limit / 2).max(min.min(limit))
 }
