--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -15,7 +15,7 @@
 };
 use std::collections::BTreeMap;
 
-/// Multiple of `limits::USER_GIVES_UP_S` for which a job is remembered as offered: a retry that
+/// Multiple of `limits::USER_GIVE_UP_AFTER_S` for which a job is remembered as offered: a retry that
 /// comes later counts as another offer.
 const OFFER_MEMORY: f64 = 2.0;
 
@@ -179,7 +179,7 @@
         self.throughput.decay(elapsed_s);
         self.window.advance(now_s);
         self.offered_at
-            .retain(|_, at| now_s - *at < limits::USER_GIVES_UP_S * OFFER_MEMORY);
+            .retain(|_, at| now_s - *at < limits::USER_GIVE_UP_AFTER_S * OFFER_MEMORY);
     }
 
     /// Makes the table anew; true if it changed by more than the tolerance.
--- a/crates/admission/src/refusals.rs
+++ b/crates/admission/src/refusals.rs
@@ -31,7 +31,7 @@
     /// Is its user likely to try again?
     fn is_retrying(&self, now_s: f64) -> bool {
         now_s - self.last_at <= limits::RETRY_EXPECTED_S
-            && now_s - self.first_at <= limits::USER_GIVES_UP_S
+            && now_s - self.first_at <= limits::USER_GIVE_UP_AFTER_S
     }
 }
 
--- a/crates/admission/src/throughput.rs
+++ b/crates/admission/src/throughput.rs
@@ -27,7 +27,7 @@
         let per_cpu = if measured > 0.0 {
             measured
         } else {
-            limits::THROUGHPUT_FIRST
+            limits::THROUGHPUT_INITIAL
         };
         Throughput {
             work_cpu_s: per_cpu,
--- a/crates/admission/tests/overload/simulated_cluster.rs
+++ b/crates/admission/tests/overload/simulated_cluster.rs
@@ -285,7 +285,7 @@
             }
         }
         job.next_attempt_at = self.now + retry_after_s as f64;
-        if job.next_attempt_at - job.first_attempt_at <= limits::USER_GIVES_UP_S {
+        if job.next_attempt_at - job.first_attempt_at <= limits::USER_GIVE_UP_AFTER_S {
             self.retrying.push(job);
         }
     }
--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -28,7 +28,7 @@
 pub const GATES_OPEN_LOAD: f64 = 0.9;
 
 /// Throughput assumed before the first measurement, CPU-seconds of expected work per CPU-second.
-pub const THROUGHPUT_FIRST: f64 = 0.7;
+pub const THROUGHPUT_INITIAL: f64 = 0.7;
 
 /// Lower bound of the measured throughput, CPU-seconds of expected work per CPU-second.
 pub const THROUGHPUT_MIN: f64 = 0.2;
@@ -47,7 +47,7 @@
 pub const JOB_COUNT_HALF_LIFE_S: f64 = 300.0;
 
 /// Seconds for which users keep retrying a refused job (protocol).
-pub const USER_GIVES_UP_S: f64 = 60.0;
+pub const USER_GIVE_UP_AFTER_S: f64 = 60.0;
 
 /// Seconds after a job's last attempt for which another attempt is expected: above the longest
 /// `Retry-After` ([`RETRY_AFTER_MAX_S`]) plus the second that a user may add.
