--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -3,9 +3,10 @@
 //! repeated here.
 //!
 //! There is a module for each concern. Most modules are private and their constants are
-//! re-exported at the root, as in `limits::LEADER_LEASE_S`. The constants of the admission controller and of
-//! the key-value store itself are used under their module's name: `store::TXN_BYTES_MAX` is the
-//! store's own limit, `TXN_BYTES_MAX` at the root the lower limit that controllers keep to.
+//! re-exported at the root, as in `limits::LEADER_LEASE_S`. The constants of the admission
+//! controller and of the key-value store itself are used under their module's name:
+//! `store::TXN_BYTES_MAX` is the store's own limit, `TXN_BYTES_MAX` at the root the lower limit
+//! that controllers keep to.
 
 #![deny(missing_docs)]
 
--- a/crates/sched/src/bin_packing.rs
+++ b/crates/sched/src/bin_packing.rs
@@ -1,26 +1,26 @@
-//! Bin packing: which machine suits a task best. The rules (machine type, zone, room) are
-//! checked by the caller; this only ranks the machines that they allow.
+//! Bin packing: ranking of machines by how well they suit a task. The caller checks the
+//! constraints (machine type, zone, room); this module only ranks the machines that meet them.
 
 use cherrywood_limits as limits;
 
 /// A machine on which a task may be placed.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementCandidate {
-    /// Seconds until the task's image could be on the machine: 0 if it is cached there.
+    /// Seconds until the task's image can be on the machine; 0 if it is cached there.
     pub image_wait_s: f64,
-    /// Share of the machine's CPUs left free after the task is placed.
+    /// Share of the machine's CPUs that is free after the task is placed.
     pub free_cpu_share_after: f64,
-    /// A spot machine, at a lower price?
+    /// Whether it is a spot machine, at a lower price.
     pub spot: bool,
-    /// Run time on it relative to the machine's peers; 1 is ordinary.
+    /// Run time on this machine relative to that on its peers; 1 is normal.
     pub slowness: f64,
 }
 
-/// The cost, in s, of placing a task with expected run time `run_s` on the candidate; the
-/// candidate with the lowest cost is chosen.
+/// Returns the cost, in s, of placing a task with expected run time `run_s` on the candidate;
+/// the candidate with the lowest cost is chosen.
 ///
-/// The wait for the image counts as it is, and so does the time that a slow machine adds to the
-/// run. A machine that stays empty costs `limits::EMPTY_MACHINE_COST_S` more (a partly used one
+/// The wait for the image and the time that a slow machine adds to the run count in full. A
+/// machine that is otherwise empty costs `limits::EMPTY_MACHINE_COST_S` more (a partly used one
 /// its free share of that) and an on-demand machine `limits::ON_DEMAND_COST_S` more, so that
 /// such machines drain and can be returned.
 pub fn placement_cost(candidate: &PlacementCandidate, run_s: f64) -> f64 {
--- a/crates/sched/src/histogram.rs
+++ b/crates/sched/src/histogram.rs
@@ -11,31 +11,31 @@
 const MS_PER_S: f64 = 1000.0;
 /// Bins are at most 1% wide: levels and trust checks compare durations by factors.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Idle half-lives at most by which a history decays in one step: after so many nothing of it is
-/// left, and many more would overflow the weight.
+/// Maximum number of idle half-lives by which a history decays in one step: after this many no
+/// weight is left, and many more would overflow the weight.
 const MAX_IDLE_HALF_LIVES: f64 = 60.0;
 
-/// Why a histogram could not be written as text.
+/// Reason why a histogram could not be encoded as text.
 #[derive(Debug, thiserror::Error)]
-#[error("a histogram can't be serialized: {0}")]
+#[error("histogram serialization failed: {0}")]
 pub struct EncodeError(#[from] V2SerializeError);
 
-/// Why a text is not a histogram.
+/// Reason why a text could not be decoded as a histogram.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
     /// The text is not base64 without padding.
-    #[error("a histogram's text is not base64: {0}")]
+    #[error("histogram text is not base64: {0}")]
     Base64(#[from] base64::DecodeError),
     /// The bytes are not a serialized HDR histogram.
-    #[error("a histogram's bytes can't be read: {0}")]
+    #[error("histogram bytes cannot be deserialized: {0}")]
     Histogram(#[from] DeserializeError),
 }
 
 /// A decaying histogram of durations.
 ///
-/// With each observation, all older ones weigh `decay` times as much as before. Instead of
-/// shrinking every count, each new observation is recorded with a larger weight, and all counts
-/// are rescaled when that weight exceeds `limits::HISTOGRAM_RESCALE_WEIGHT`.
+/// Each observation multiplies the weight of all older ones by `decay`. Instead of shrinking
+/// every count, each new observation is recorded with a larger weight, and all counts are
+/// rescaled when that weight exceeds `limits::HISTOGRAM_RESCALE_WEIGHT`.
 #[derive(Debug, Clone)]
 pub struct DecayingHistogram {
     /// Counts by duration in ms; an observation of weight 1 counts
@@ -47,8 +47,8 @@
 }
 
 impl DecayingHistogram {
-    /// An empty histogram; `decay` (the paper's *d*, below 1) is what an observation keeps of
-    /// its weight with each newer one.
+    /// Returns an empty histogram; `decay` (the paper's *d*, below 1) is the factor that each
+    /// observation applies to the weight of the older ones.
     pub fn new(decay: f64) -> Self {
         DecayingHistogram {
             counts: empty_counts(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Records a duration; it counts as at least 1 ms and at most `limits::RUN_TIME_MAX_MS`.
+    /// Records a duration, clamped to at least 1 ms and at most `limits::RUN_TIME_MAX_MS`.
     pub fn record(&mut self, duration_s: f64) {
         let duration_ms = ((duration_s * MS_PER_S) as u64).clamp(1, limits::RUN_TIME_MAX_MS);
         let count = (self.weight * limits::HISTOGRAM_UNITS_PER_OBSERVATION).round() as u64;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Halves the weight of all that was recorded for every half-life that passed without an
+    /// Halves the weight of all recorded observations for every half-life that passed without an
     /// observation (paper, table 1, "idle half-life").
     pub(crate) fn decay_idle(&mut self, half_lives: f64) {
         self.weight *= libm::exp2(half_lives.min(MAX_IDLE_HALF_LIVES));
@@ -90,15 +90,15 @@
         self.weight /= divisor;
     }
 
-    /// The `q`-quantile in s, `q` in \[0, 1\]; None while nothing was recorded.
+    /// Returns the `q`-quantile in s, `q` in \[0, 1\]; None if nothing was recorded.
     pub fn quantile_s(&self, q: f64) -> Option<f64> {
         (!self.counts.is_empty()).then(|| self.counts.value_at_quantile(q) as f64 / MS_PER_S)
     }
 
-    /// The histogram as text, without its decay.
+    /// Returns the histogram as text, without its decay.
     ///
-    /// It is written as if the next observation weighed 1, so that a reader needs no second
-    /// number.
+    /// The counts are scaled as if the next observation had weight 1, so that the weight need not
+    /// be stored.
     ///
     /// # Errors
     ///
@@ -111,7 +111,7 @@
         Ok(STANDARD_NO_PAD.encode(bytes))
     }
 
-    /// Reads what [`encode`](Self::encode) wrote.
+    /// Reads the text that [`encode`](Self::encode) wrote.
     ///
     /// # Errors
     ///
@@ -128,7 +128,7 @@
 }
 
 fn empty_counts() -> Histogram<u64> {
-    // Never fails: the lowest value is 1, the highest at least twice that, and there are at
+    // Never fails: the lowest value is 1, the highest is at least twice that, and there are at
     // most five significant digits.
     Histogram::new_with_bounds(1, limits::RUN_TIME_MAX_MS, SIGNIFICANT_DIGITS)
         .expect("the bounds are constants that the library accepts")
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,8 +1,8 @@
 //! Scheduling policy: the level in which a task waits, the order in which waiting tasks are
-//! served, the machine that suits a task best, and how many machines are wanted.
+//! served, the machine that suits a task best, and the number of machines wanted.
 //!
-//! Everything here is pure: no I/O, no clock, no knowledge of jobs, machines or controllers
-//! beyond what the arguments say. Times are seconds on a steady clock of the caller's.
+//! All functions are pure: they do no I/O, read no clock, and know of jobs, machines and
+//! controllers only what their arguments state. Times are seconds on the caller's steady clock.
 //!
 //! "The paper" is *Size-based scheduling for message queues, from per-key duration
 //! statistics*; its sections 3.4 to 3.7 describe the predictor and the queue.
--- a/crates/sched/src/predictor.rs
+++ b/crates/sched/src/predictor.rs
@@ -1,24 +1,24 @@
-//! Prediction of run times from per-key statistics, and the level that follows from them
+//! Prediction of run times from per-key statistics, and the level of a task based on them
 //! (paper 3.4 and 3.5).
 //!
-//! A *key* stands for tasks that are alike, such as those of one class of one team. Completed
-//! tasks add their run time to their key's histogram and to a pooled one. The median of a key
-//! is the expected run time of its next task (equation 1); quantiles of the pooled histogram
-//! are the boundaries between levels (equation 2). A key with too few, too old, too variable
-//! or too often censored observations is not trusted (equation 3), and its tasks wait in the
-//! middle level.
+//! A *key* identifies similar tasks, such as those of one class of one team. Completed tasks add
+//! their run time to their key's histogram and to a pooled one. The median of a key is the
+//! expected run time of its next task (equation 1); quantiles of the pooled histogram are the
+//! boundaries between levels (equation 2). A key whose observations are too few, too old, too
+//! variable or too often censored is not trusted (equation 3), and its tasks wait in the middle
+//! level.
 
 use crate::histogram::DecayingHistogram;
 use cherrywood_limits as limits;
 use std::collections::BTreeMap;
 
-/// Run times in s that split the levels, ascending (the paper's β).
+/// Run times in s that separate the levels, ascending (the paper's β).
 pub type Boundaries = [f64; limits::LEVELS - 1];
 
-/// Quantiles of a key's run times, in s; 0 while there are none.
+/// Quantiles of a key's run times, in s; 0 without observations.
 ///
-/// They are computed once for each observation: to query the histogram for every waiting job
-/// took most of the leader's processor time.
+/// They are computed once per observation: querying the histogram for every waiting job took
+/// most of the leader's CPU time.
 #[derive(Debug, Clone, Copy)]
 struct Quantiles {
     median_s: f64,
@@ -43,16 +43,16 @@
     }
 }
 
-/// What is known of a key.
+/// Observations of a key.
 #[derive(Debug, Clone)]
 struct KeyHistory {
     histogram: DecayingHistogram,
     quantiles: Quantiles,
-    /// Completed tasks, in all.
+    /// Number of completed tasks, without decay.
     completions: u64,
     /// Decayed share of tasks that were lost or failed (the paper's *c*).
     censored_share: f64,
-    /// When a task last completed, or a trusted prediction was last made.
+    /// Time when a task last completed or a trusted prediction was last made, s.
     last_active_s: f64,
 }
 
@@ -71,7 +71,7 @@
         self.completions >= limits::KEY_MIN_COMPLETIONS
     }
 
-    /// The four conditions of equation 3.
+    /// Returns whether the four conditions of equation 3 hold.
     fn is_trusted(&self, now_s: f64) -> bool {
         self.has_enough_completions()
             && now_s - self.last_active_s <= limits::KEY_STALE_S
@@ -84,13 +84,13 @@
             key: key.to_string(),
             completions: self.completions,
             censored_share: self.censored_share,
-            // `restore` leaves out a text that it can't read: the key then has no history.
+            // `restore` skips a text that it cannot decode: the key then has no history.
             histogram: self.histogram.encode().unwrap_or_default(),
         }
     }
 }
 
-/// What a [`Predictor`] has learned, in a form that can be stored.
+/// State of a [`Predictor`] in a form that can be stored.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PredictorSnapshot {
     /// The pooled histogram as text.
@@ -99,12 +99,12 @@
     pub keys: Vec<KeySnapshot>,
 }
 
-/// What a [`Predictor`] has learned of one key.
+/// State of one key of a [`Predictor`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct KeySnapshot {
     /// The key's name.
     pub key: String,
-    /// Tasks that completed.
+    /// Number of completed tasks.
     pub completions: u64,
     /// Decayed share of tasks that were lost or failed.
     pub censored_share: f64,
@@ -112,14 +112,14 @@
     pub histogram: String,
 }
 
-/// Learns run times by key and assigns levels.
+/// Learns run times by key and assigns levels to tasks.
 ///
-/// Memory is bounded: beyond `limits::KEYS_MAX` keys the least recently active is forgotten.
+/// Memory is bounded: beyond `limits::KEYS_MAX` keys the least recently active one is evicted.
 #[derive(Debug)]
 pub struct Predictor {
     histories: BTreeMap<String, KeyHistory>,
     pooled: DecayingHistogram,
-    /// Completed tasks of all keys.
+    /// Number of completed tasks of all keys.
     pooled_completions: u64,
     boundaries_s: Option<Boundaries>,
 }
@@ -131,7 +131,7 @@
 }
 
 impl Predictor {
-    /// A predictor that has seen nothing.
+    /// Returns a predictor without observations.
     pub fn new() -> Self {
         Predictor {
             histories: BTreeMap::new(),
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Restores a snapshot. What can't be read is left out: a key without a history is
-    /// predicted like any new one.
+    /// Restores a snapshot. Histograms that cannot be decoded are skipped: a key without a history
+    /// is predicted like a new one.
     pub fn restore(snapshot: &PredictorSnapshot, now_s: f64) -> Self {
         let mut predictor = Predictor::new();
         if let Ok(pooled) = DecayingHistogram::decode(&snapshot.pooled, limits::POOLED_DECAY) {
@@ -173,7 +173,7 @@
         self.histories.insert(snapshot.key.clone(), history);
     }
 
-    /// Everything learned, to be restored by another process.
+    /// Returns the state, to be restored by another process.
     pub fn snapshot(&self) -> PredictorSnapshot {
         let mut histories: Vec<_> = self.histories.iter().collect();
         histories.sort_by(|a, b| b.1.last_active_s.total_cmp(&a.1.last_active_s));
@@ -186,7 +186,7 @@
         }
     }
 
-    /// The history of `key`, begun if there is none.
+    /// Returns the history of `key`, which is created if it does not exist.
     fn history_mut(&mut self, key: &str, now_s: f64) -> &mut KeyHistory {
         if !self.histories.contains_key(key) && self.histories.len() >= limits::KEYS_MAX {
             self.forget_least_recently_active();
@@ -207,7 +207,7 @@
         }
     }
 
-    /// A task of `key` ran to its end in `run_s`.
+    /// Records that a task of `key` completed with a run time of `run_s`.
     pub fn record_completion(&mut self, key: &str, run_s: f64, now_s: f64) {
         let history = self.history_mut(key, now_s);
         let idle_s = (now_s - history.last_active_s).max(0.0);
@@ -226,8 +226,8 @@
         }
     }
 
-    /// A task of `key` was lost or failed: a censored observation. Its time is no run time,
-    /// so a key whose slow tasks fail must not look fast (paper 3.5).
+    /// Records that a task of `key` was lost or failed: a censored observation. Its duration is
+    /// not a run time, and a key whose slow tasks fail must not appear fast (paper 3.5).
     pub fn record_censored(&mut self, key: &str, now_s: f64) {
         let history = self.history_mut(key, now_s);
         history.censored_share =
@@ -243,7 +243,8 @@
                 .is_multiple_of(limits::BOUNDARY_REFRESH_COMPLETIONS)
     }
 
-    /// Equation 2: with L levels, boundary j is the j/L quantile of all run times.
+    /// Computes the boundaries by equation 2: with L levels, boundary j is the j/L quantile of all
+    /// run times.
     fn refresh_boundaries(&mut self) {
         let mut boundaries_s = [0.0; limits::LEVELS - 1];
         for (j, boundary_s) in boundaries_s.iter_mut().enumerate() {
@@ -256,12 +257,12 @@
         self.boundaries_s = Some(boundaries_s);
     }
 
-    /// The boundaries between levels; None until enough tasks have completed.
+    /// Returns the boundaries between levels; None until enough tasks have completed.
     pub fn boundaries_s(&self) -> Option<Boundaries> {
         self.boundaries_s
     }
 
-    /// The quantiles of a key with enough observations.
+    /// Returns the quantiles of a key with enough observations.
     fn quantiles(&self, key: &str) -> Option<Quantiles> {
         let history = self.histories.get(key)?;
         history
@@ -269,23 +270,24 @@
             .then_some(history.quantiles)
     }
 
-    /// The median run time of `key`, once enough of its tasks have completed.
+    /// Returns the median run time of `key`, once enough of its tasks have completed.
     pub fn median_s(&self, key: &str) -> Option<f64> {
         Some(self.quantiles(key)?.median_s)
     }
 
-    /// The 95th percentile of the run times of `key`, once enough of its tasks have completed.
+    /// Returns the 95th percentile of the run times of `key`, once enough of its tasks have
+    /// completed.
     pub fn p95_s(&self, key: &str) -> Option<f64> {
         Some(self.quantiles(key)?.p95_s)
     }
 
-    /// All keys that have a median, with it.
+    /// Returns all keys with enough observations, each with its median run time.
     pub fn medians_s(&self) -> impl Iterator<Item = (&str, f64)> {
         let keys = self.histories.keys().map(String::as_str);
         keys.filter_map(|key| Some((key, self.median_s(key)?)))
     }
 
-    /// The median run time of `key` if it can be trusted (equation 3).
+    /// Returns the median run time of `key` if the key is trusted (equation 3).
     pub fn trusted_median_s(&self, key: &str, now_s: f64) -> Option<f64> {
         let history = self.histories.get(key)?;
         history
@@ -293,8 +295,9 @@
             .then_some(history.quantiles.median_s)
     }
 
-    /// The level in which a task of `key` waits: the number of boundaries that its expected
-    /// run time has reached (equation 2), or the middle one if that can't be trusted.
+    /// Returns the level in which a task of `key` waits: the number of boundaries that its
+    /// expected run time has reached (equation 2), or the middle level if the key is not trusted
+    /// or there are no boundaries yet.
     ///
     /// A prediction made while the key is trusted counts as activity (paper 3.5), so that keys
     /// whose tasks wait in a backlog don't become stale.
--- a/crates/sched/src/provisioning.rs
+++ b/crates/sched/src/provisioning.rs
@@ -1,12 +1,12 @@
-//! The provisioning plan: how many CPUs are wanted, and which instances are rented for them.
+//! The provisioning plan: the number of CPUs wanted, and the instances to rent for them.
 
 use cherrywood_limits as limits;
 use std::cmp::Ordering;
 
-/// Lower bound of an offer's CPUs as a divisor, against division by zero.
+/// Lower bound of an offer's CPUs as a divisor, to avoid division by zero.
 const MIN_CPUS: f64 = 0.001;
-/// Share of a machine's CPUs that must still be missing for another one to be ordered after the
-/// first: a whole machine for less work would mostly be idle.
+/// Share of a machine's CPUs that must still be missing for another machine to be ordered after
+/// the first: a whole machine for less work would mostly be idle.
 const MIN_USED_SHARE: f64 = 0.5;
 
 /// Waiting work of one team.
@@ -14,21 +14,21 @@
 pub struct TeamDemand {
     /// CPUs that the team's limit leaves for its waiting tasks.
     pub headroom_cpus: f64,
-    /// CPUs that its waiting tasks would use all at once.
+    /// CPUs that the team's waiting tasks would use if all ran at once.
     pub waiting_cpus: f64,
-    /// Expected work of its waiting tasks, CPU-seconds.
+    /// Expected work of the team's waiting tasks, CPU-seconds.
     pub waiting_work_cpu_s: f64,
 }
 
 impl TeamDemand {
-    /// Adds waiting tasks of like shape and expected run time.
+    /// Adds waiting tasks with the same CPUs and expected run time.
     pub fn add_tasks(&mut self, cpus_per_task: f64, tasks: f64, run_s: f64) {
         self.waiting_cpus += cpus_per_task * tasks;
         self.waiting_work_cpu_s += cpus_per_task * tasks * run_s;
     }
 
-    /// CPUs that finish the waiting work in `drain_s`, but no more than its tasks could use
-    /// or its limit allows at once.
+    /// Returns the CPUs that finish the waiting work in `drain_s`, but no more than the waiting
+    /// tasks can use or the team's limit allows at once.
     fn wanted_cpus(&self, drain_s: f64) -> f64 {
         self.waiting_cpus
             .min(self.headroom_cpus)
@@ -37,17 +37,17 @@
     }
 }
 
-/// What CPUs are needed for.
+/// Demand for CPUs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CpuDemand {
-    /// CPUs of tasks on machines now, and of tasks that must all run at once.
+    /// CPUs of tasks that are on machines now, and of tasks that must all run at once.
     pub placed_cpus: f64,
     /// Waiting work of each team.
     pub teams: Vec<TeamDemand>,
 }
 
 impl CpuDemand {
-    /// CPUs placed now, and those that finish the waiting work in `drain_s`.
+    /// Returns the CPUs placed now plus those that finish the waiting work in `drain_s`.
     pub fn wanted_cpus(&self, drain_s: f64) -> f64 {
         let waiting: f64 = self.teams.iter().map(|t| t.wanted_cpus(drain_s)).sum();
         self.placed_cpus + waiting
@@ -61,41 +61,42 @@
     pub machine_type: String,
     /// Name of the zone.
     pub zone: String,
-    /// Preemptible, at a lower price?
+    /// Whether its machines are spot machines: preemptible, at a lower price.
     pub spot: bool,
-    /// CPUs of a machine.
+    /// CPUs of one machine.
     pub cpus: f64,
-    /// Price of an hour of the whole machine.
+    /// Price of one machine per hour.
     pub price_per_h: f64,
-    /// Boot time in seconds, during which a machine is paid for but runs nothing.
+    /// Boot time in seconds, during which a machine is paid for but runs no tasks.
     pub boot_s: f64,
     /// Machines of this offer that exist already.
     pub existing_machines: u32,
-    /// Are most of its machines that should have booted by now still not up?
+    /// Whether most of its machines that should have booted by now are not up yet.
     pub boots_overdue: bool,
 }
 
 impl InstanceOffer {
-    /// Price of a CPU for an hour of work. A machine is expected to work for
-    /// `limits::RENTAL_DURATION_S` and is paid for its boot as well, so a long boot makes each
-    /// hour of work dearer.
+    /// Returns the price of a CPU per hour of work. A machine is expected to work for
+    /// `limits::RENTAL_DURATION_S` and its boot is paid for as well, so a long boot raises the
+    /// price of each hour of work.
     fn effective_cpu_price(&self) -> f64 {
         self.price_per_h * (1.0 + self.boot_s / limits::RENTAL_DURATION_S) / self.cpus.max(MIN_CPUS)
     }
 }
 
-/// Machines to rent of one offer.
+/// Number of machines to rent of one offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProvisioningOrder {
-    /// Index of the offer in the list that was planned with.
+    /// Index of the offer in the list passed to [`plan_provisioning`].
     pub offer: usize,
-    /// Machines to rent.
+    /// Number of machines to rent.
     pub machines: u32,
 }
 
-/// Splits a shortage of CPUs over offers. Offers whose boots are not overdue come before those
-/// whose are, then the cheapest CPU is preferred and, at equal price, the offer with the fewest
-/// machines, so that the loss of a zone or a wave of preemptions takes fewer.
+/// Distributes a shortage of CPUs over offers. Offers without overdue boots are preferred to
+/// those with overdue boots, then the offer with the lowest price per CPU and, at equal price,
+/// the offer with the fewest machines, so that the loss of a zone or a wave of preemptions takes
+/// fewer machines.
 ///
 /// At most `limits::RENTAL_MACHINES_MAX` machines of an offer are ordered. The orders are in
 /// the order of the offers.
@@ -121,12 +122,12 @@
         .collect()
 }
 
-/// The offer of which one more machine is ordered next, given the machines ordered so far.
+/// Returns the offer to order one more machine of, given the machines ordered so far.
 fn best_offer(offers: &[InstanceOffer], ordered: &[u32]) -> Option<usize> {
     let machines = |offer: usize| offers[offer].existing_machines + ordered[offer];
     let compare = |a: &usize, b: &usize| -> Ordering {
         let (x, y) = (&offers[*a], &offers[*b]);
-        // Machines that don't come up cost money and run nothing.
+        // Machines whose boot does not finish cost money and run no tasks.
         x.boots_overdue
             .cmp(&y.boots_overdue)
             .then(x.effective_cpu_price().total_cmp(&y.effective_cpu_price()))
--- a/crates/sched/src/queue.rs
+++ b/crates/sched/src/queue.rs
@@ -1,10 +1,10 @@
 //! The multi-level queue of waiting tasks: levels share worker time by weights (paper 3.7),
-//! and waiting tasks rise by aging (paper 3.6).
+//! and aging promotes waiting tasks to the level above (paper 3.6).
 //!
-//! The tasks of a job are alike, so they wait as ranges. A pass over the queue looks up
+//! The tasks of a job are alike, so they are queued as ranges. A pass over the queue looks up
 //! [positions](Position), chooses among them with [`MultiLevelQueue::select`] and takes tasks
-//! with [`MultiLevelQueue::serve`]. Positions hold during a pass: a range that was emptied
-//! stays where it is until something is pushed, removed or aged.
+//! with [`MultiLevelQueue::serve`]. Positions stay valid during a pass: an emptied range keeps
+//! its place until tasks are pushed, removed or aged.
 
 mod aging;
 
@@ -14,22 +14,22 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// Least cost charged for a task, s: the virtual clock of a level whose tasks cost nothing would
-/// stand still, and that level alone would be served.
+/// Minimum cost charged for a task, s: the virtual clock of a level whose tasks cost nothing
+/// would not advance, and that level alone would be served.
 const MIN_EXPECTED_COST_S: f64 = 0.001;
 
 /// Tasks `first..end` of a job that wait in a level.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskRange<J> {
-    /// The job whose tasks they are.
+    /// The job that the tasks belong to.
     pub job: J,
-    /// The first task that waits.
+    /// The first waiting task.
     pub first: u32,
-    /// One past the last task that waits.
+    /// One past the last waiting task.
     pub end: u32,
-    /// Since when they wait in this level, s.
+    /// Time since which the tasks wait in this level, s.
     pub waiting_since: f64,
-    /// Did aging move them here?
+    /// Whether aging moved the tasks to this level.
     pub promoted: bool,
 }
 
@@ -44,21 +44,21 @@
         }
     }
 
-    /// Tasks that wait.
+    /// Returns the number of waiting tasks.
     pub fn len(&self) -> u32 {
         self.end - self.first
     }
 
-    /// Have all of its tasks been served?
+    /// Returns whether all tasks of the range have been served.
     pub fn is_empty(&self) -> bool {
         self.end == self.first
     }
 }
 
-/// Where a range is in the queue; valid during a pass.
+/// Position of a range in the queue; valid during a pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Position {
-    /// The level, 0 being the one with the shortest expected run times.
+    /// The level; level 0 has the shortest expected run times.
     pub level: usize,
     index: usize,
 }
@@ -66,19 +66,19 @@
 /// A range that can be served, and its position.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Selection<J> {
-    /// The job whose tasks they are.
+    /// The job that the tasks belong to.
     pub job: J,
     /// The first task of the range.
     pub first_task: u32,
-    /// Tasks of the range.
+    /// Number of tasks in the range.
     pub task_count: u32,
-    /// Since when they wait in their level, s.
+    /// Time since which the tasks wait in their level, s.
     pub waiting_since: f64,
     position: Position,
 }
 
 impl<J> Selection<J> {
-    /// The level in which the range waits.
+    /// Returns the level in which the range waits.
     pub fn level(&self) -> usize {
         self.position.level
     }
@@ -87,17 +87,17 @@
 /// Waiting tasks in levels, each with a virtual clock.
 ///
 /// A level is charged the expected cost of each task served, divided by the level's weight;
-/// the level with the smallest clock is served next (equation 4). While all levels have work
-/// they so get worker time in proportion to their weights.
+/// the level with the smallest clock is served next (equation 4). So while all levels have work,
+/// they get worker time in proportion to their weights.
 #[derive(Debug)]
 pub struct MultiLevelQueue<J> {
     levels: [VecDeque<TaskRange<J>>; limits::LEVELS],
-    /// The paper's *v*, in s of worker time for each unit of weight.
+    /// The paper's *v*, in s of worker time per unit of weight.
     virtual_clocks: [f64; limits::LEVELS],
     aging: Aging,
     last_aging_pass: f64,
-    /// Whether emptied ranges may still be in the levels, so that positions stay valid during
-    /// a pass.
+    /// Whether the levels may contain emptied ranges, which are kept so that positions stay valid
+    /// during a pass.
     has_empty_ranges: bool,
 }
 
@@ -108,7 +108,7 @@
 }
 
 impl<J: Clone + PartialEq> MultiLevelQueue<J> {
-    /// An empty queue.
+    /// Returns an empty queue.
     pub fn new(aging: Aging) -> Self {
         MultiLevelQueue {
             levels: Default::default(),
@@ -125,8 +125,8 @@
         self.levels[level].push_back(TaskRange::new(job, tasks, now_s));
     }
 
-    /// Adds a task that was served before (and was lost, stopped or refused) at the front of
-    /// the level.
+    /// Adds a task that was served before (and then lost, stopped or refused) at the front of the
+    /// level.
     pub fn push_front(&mut self, level: usize, job: J, task: u32, now_s: f64) {
         self.prepare_push(level);
         self.levels[level].push_front(TaskRange::new(job, task..task + 1, now_s));
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Raises the clock of an empty level to the smallest clock of the levels that have work:
-    /// an empty level can't save credit for later (paper 3.7).
+    /// Raises the clock of an empty level to the smallest clock of the levels that have work: an
+    /// empty level accumulates no credit (paper 3.7).
     fn catch_up_idle_clock(&mut self, level: usize) {
         if !self.levels[level].is_empty() {
             return;
@@ -168,12 +168,12 @@
         }
     }
 
-    /// All ranges with waiting tasks, level by level in their order.
+    /// Returns all ranges with waiting tasks, level by level in queue order.
     pub fn ranges(&self) -> impl Iterator<Item = &TaskRange<J>> {
         self.levels.iter().flatten().filter(|r| !r.is_empty())
     }
 
-    /// All ranges with waiting tasks, level by level in their order, each with its position.
+    /// Returns all ranges with waiting tasks, level by level in queue order, with their positions.
     pub fn positions(&self) -> impl Iterator<Item = (Position, &TaskRange<J>)> {
         let levels = self.levels.iter().enumerate();
         levels.flat_map(|(level, ranges)| {
@@ -182,17 +182,17 @@
         })
     }
 
-    /// Does no task wait?
+    /// Returns whether no task waits.
     pub fn is_empty(&self) -> bool {
         self.ranges().next().is_none()
     }
 
-    /// Tasks that wait in a level.
+    /// Returns the number of tasks that wait in a level.
     pub fn waiting_tasks(&self, level: usize) -> u32 {
         self.levels[level].iter().map(TaskRange::len).sum()
     }
 
-    /// The range at a position, if anything of it is left.
+    /// Returns the range at a position, if any of its tasks are left.
     pub fn get(&self, position: Position) -> Option<Selection<J>> {
         let range = self.levels[position.level].get(position.index)?;
         (!range.is_empty()).then(|| Selection {
@@ -204,14 +204,14 @@
         })
     }
 
-    /// The range to serve next. `eligible` holds for each level the first range that can be
-    /// served now; of these, the one in the level with the smallest virtual clock is selected
+    /// Returns the range to serve next. `eligible` holds for each level the first range that can
+    /// be served now; of these, the one in the level with the smallest virtual clock is selected
     /// (equation 4).
     pub fn select(&mut self, eligible: [Option<Position>; limits::LEVELS]) -> Option<Selection<J>> {
         let selected = (0..limits::LEVELS)
             .filter(|level| eligible[*level].is_some())
             .min_by(|a, b| self.virtual_clocks[*a].total_cmp(&self.virtual_clocks[*b]))?;
-        // A level with nothing to serve now is like an empty one: it saves no credit.
+        // Like an empty level, a level without an eligible range accumulates no credit.
         for (level, position) in eligible.iter().enumerate() {
             if position.is_none() {
                 let least = self.virtual_clocks[selected];
@@ -221,8 +221,8 @@
         self.get(eligible[selected]?)
     }
 
-    /// Takes the first `tasks` of a range and charges its level for them: the expected cost
-    /// of each, s, over the level's weight (equation 4).
+    /// Takes the first `tasks` of a range and charges its level for each the expected cost, s,
+    /// divided by the level's weight (equation 4).
     pub fn serve(&mut self, selection: &Selection<J>, tasks: u32, expected_cost_s: f64) {
         self.discard(selection, tasks);
         let level = selection.level();
@@ -230,7 +230,7 @@
         self.virtual_clocks[level] += cost_s / limits::LEVEL_WEIGHTS[level];
     }
 
-    /// Removes the first `tasks` of a range, which need not run; nothing is charged.
+    /// Removes the first `tasks` of a range, which need not run, without charging the level.
     pub fn discard(&mut self, selection: &Selection<J>, tasks: u32) {
         let Position { level, index } = selection.position;
         if let Some(range) = self.levels[level].get_mut(index) {
--- a/crates/sched/src/queue/aging.rs
+++ b/crates/sched/src/queue/aging.rs
@@ -1,24 +1,24 @@
-//! Aging: tasks that have waited long in their level move up one, so that a stream of shorter
-//! tasks can't keep any task waiting without end (paper 3.6).
+//! Aging: tasks that have waited long in their level move up one level, so that a stream of
+//! shorter tasks cannot starve any task (paper 3.6).
 
 use super::{MultiLevelQueue, TaskRange};
 use cherrywood_limits as limits;
 
-/// When waiting tasks move up a level.
+/// Policy that decides when waiting tasks move up a level.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Aging {
-    /// Pausing aging (paper 3.7): not while the level above holds promoted tasks and its oldest
-    /// range has itself waited for `limits::AGING_THRESHOLD_S`.
+    /// Pausing aging (paper 3.7): tasks do not move up while the level above holds promoted tasks
+    /// and its oldest range has itself waited for `limits::AGING_THRESHOLD_S`.
     #[default]
     Pausing,
-    /// Tasks move up however long those of the level above have waited (paper 3.6).
+    /// Tasks move up regardless of how long those of the level above have waited (paper 3.6).
     Plain,
-    /// Never.
+    /// Tasks never move up.
     Off,
 }
 
 impl<J: Clone + PartialEq> MultiLevelQueue<J> {
-    /// One pass of aging, if the last one is at least `limits::AGING_INTERVAL_S` ago. From the
+    /// Runs a pass of aging if the last one is at least `limits::AGING_INTERVAL_S` ago. From the
     /// level with the longest run times (the highest index) up to level 1, the task of each
     /// level that has waited longest moves to the back of the level above, if it has waited for
     /// `limits::AGING_THRESHOLD_S`.
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The index of the range that has waited longest in a level.
+    /// Returns the index of the range that has waited longest in a level.
     fn oldest(&self, level: usize) -> Option<usize> {
         let ranges = self.levels[level].iter().enumerate();
         ranges
@@ -51,9 +51,9 @@
         now_s - self.levels[level][index].waiting_since >= limits::AGING_THRESHOLD_S
     }
 
-    /// Is nothing promoted into this level now? Pausing aging stops promotion while the level
+    /// Returns whether promotion into this level is paused: under pausing aging, while the level
     /// holds promoted tasks and its oldest range has itself waited for
-    /// `limits::AGING_THRESHOLD_S`: the level can't keep up with what it has.
+    /// `limits::AGING_THRESHOLD_S`, since the level cannot keep up with the tasks that it has.
     fn is_paused(&self, level: usize, now_s: f64) -> bool {
         self.aging == Aging::Pausing
             && self.levels[level].iter().any(|range| range.promoted)
@@ -62,8 +62,8 @@
                 .is_some_and(|index| self.has_aged(level, index, now_s))
     }
 
-    /// Moves the first task of a range to the back of the level above, where its wait starts
-    /// anew.
+    /// Moves the first task of a range to the back of the level above, where its waiting time
+    /// restarts.
     fn promote(&mut self, level: usize, index: usize, now_s: f64) {
         let above = level - 1;
         self.catch_up_idle_clock(above);
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -1,8 +1,8 @@
 //! CPUs, accelerators and memory as one quantity with its arithmetic.
 //!
-//! The same type stands for what a task asks for, what a machine offers, what is
-//! used and what is left. Sums of fractional CPUs carry rounding errors, so every
-//! comparison that asks whether something fits allows [`ROUNDING`].
+//! The same type represents the request of a task, the capacity of a machine, and used and free
+//! resources. Sums of fractional CPUs carry rounding errors, so every check of whether resources
+//! fit allows a tolerance of [`ROUNDING`].
 
 use std::ops::{Add, AddAssign, Mul, Sub, SubAssign};
 
@@ -12,7 +12,7 @@
 /// CPUs, accelerators and memory.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
-    /// CPUs; tasks may ask for fractions.
+    /// CPUs; tasks may request fractions.
     pub cpus: f64,
     /// Accelerators.
     pub gpus: f64,
@@ -21,10 +21,10 @@
 }
 
 impl Resources {
-    /// Nothing of anything.
+    /// No resources.
     pub const ZERO: Resources = Resources::uniform(0.0);
 
-    /// More than any task or machine has: the start of a component-wise minimum.
+    /// Unlimited resources: the initial value of a component-wise minimum.
     pub const INFINITE: Resources = Resources::uniform(f64::INFINITY);
 
     const fn uniform(amount: f64) -> Resources {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The smaller of each component.
+    /// Returns the component-wise minimum.
     #[must_use]
     pub fn component_min(self, other: Resources) -> Resources {
         Resources {
@@ -45,23 +45,23 @@
         }
     }
 
-    /// Does this fit into what is `available`, rounding errors aside?
+    /// Returns whether these resources fit into `available`, except for rounding errors.
     pub fn fits_in(self, available: Resources) -> bool {
         self.cpus <= available.cpus + ROUNDING
             && self.gpus <= available.gpus + ROUNDING
             && self.memory_gb <= available.memory_gb + ROUNDING
     }
 
-    /// Is no component larger than that of `capacity`? Both are given figures, not
-    /// sums, so no rounding is allowed for.
+    /// Returns whether no component is larger than that of `capacity`. Both are stated amounts,
+    /// not sums, so there is no tolerance for rounding.
     pub fn is_within(self, capacity: Resources) -> bool {
         self.cpus <= capacity.cpus
             && self.gpus <= capacity.gpus
             && self.memory_gb <= capacity.memory_gb
     }
 
-    /// How many tasks that each ask for `task` fit into these resources, rounding
-    /// errors aside. A component that the task doesn't ask for limits nothing.
+    /// Returns the number of tasks, each requesting `task`, that fit into these resources, except
+    /// for rounding errors. A component that the task does not request imposes no limit.
     pub fn task_count(self, task: Resources) -> u32 {
         component_count(self.cpus, task.cpus)
             .min(component_count(self.gpus, task.gpus))
@@ -69,7 +69,7 @@
     }
 }
 
-/// How many times `each` fits into `available`; without bound if it is zero.
+/// Returns how many times `each` fits into `available`; `u32::MAX` if `each` is zero.
 fn component_count(available: f64, each: f64) -> u32 {
     if each > 0.0 {
         ((available + ROUNDING) / each).floor().max(0.0) as u32
@@ -114,7 +114,7 @@
     }
 }
 
-/// The resources of `count` tasks that each take these.
+/// Multiplication gives the resources of `count` tasks that each take these.
 impl Mul<f64> for Resources {
     type Output = Resources;
 
--- a/crates/sched/src/starvation.rs
+++ b/crates/sched/src/starvation.rs
@@ -1,30 +1,30 @@
-//! Anti-starvation: how long the order of service may pass a job over.
+//! Starvation avoidance: the time for which the order of service may pass a job over.
 //!
-//! Priorities, objectives, levels and their virtual clocks decide which job is served next.
-//! Where a team's quota is used up, they alone would let newer jobs of the team overtake an
-//! older one for as long as newer ones arrive, even while machines have room. So a job that was
-//! passed over for too long gets a single task before all others.
+//! Priorities, objectives, levels and their virtual clocks decide which job is served next. If a
+//! team's quota is used up, they alone would let newer jobs of the team overtake an older one for
+//! as long as newer ones arrive, even while machines have room. So a job that was passed over for
+//! too long gets a single task placed before all others.
 
 use cherrywood_limits as limits;
 
-/// A job with waiting tasks, as the order of service has treated it so far.
+/// A job with waiting tasks, and how the order of service has treated it so far.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PassedOverJob {
-    /// Seconds since one of its tasks was last placed or, before that, since it could first run.
+    /// Seconds since one of its tasks was last placed or, if none was, since it could first run.
     pub waited_s: f64,
-    /// Has any of its tasks ever been done, or is one on a machine?
+    /// Whether any of its tasks was ever done, or is on a machine now.
     pub has_started: bool,
-    /// Is one of its tasks on a machine?
+    /// Whether one of its tasks is on a machine.
     pub is_placed: bool,
-    /// Was a task of its team refused by the team's quota just now?
+    /// Whether the team's quota refused a task of the team recently.
     pub quota_limited: bool,
 }
 
 impl PassedOverJob {
-    /// Must it get a task before all others?
+    /// Returns whether the job must get a task placed before all others.
     ///
-    /// In a team at its quota, every job that was passed over for too long must; in any other
-    /// team, only a job that has never started.
+    /// In a team at its quota, this holds for every job that was passed over for too long; in any
+    /// other team, only for such a job that has never started.
     pub fn is_starving(&self) -> bool {
         if self.quota_limited {
             self.waited_s >= self.max_wait_at_quota_s()
--- a/crates/sched/tests/bin_packing.rs
+++ b/crates/sched/tests/bin_packing.rs
@@ -1,9 +1,9 @@
-//! Ranking of the machines that a task may be placed on.
+//! Ranking of the machines on which a task may be placed.
 
 use cherrywood_sched::bin_packing::{PlacementCandidate, placement_cost};
 
 #[test]
-fn a_cached_image_outweighs_packing_and_a_fuller_or_faster_machine_wins_among_equals() {
+fn a_cached_image_outweighs_packing_and_a_fuller_or_faster_machine_is_preferred() {
     let empty = PlacementCandidate {
         image_wait_s: 0.0,
         free_cpu_share_after: 0.9,
--- a/crates/sched/tests/predictor.rs
+++ b/crates/sched/tests/predictor.rs
@@ -17,12 +17,12 @@
     assert!((est - 10.0).abs() < 0.2, "{est}");
     assert!(p.trusted_median_s("a", 1800.0).is_some());
     assert_eq!(p.trusted_median_s("a", 1800.1), None);
-    // Paper 3.5: 92% fast, 8% thousands of times slower.
+    // As in paper 3.5: 92% of the tasks are fast, 8% are thousands of times slower.
     for i in 0..100 {
         p.record_completion("b", if i % 12 == 0 { 1000.0 } else { 0.5 }, 0.0);
     }
     assert_eq!(p.trusted_median_s("b", 0.0), None);
-    // 1 - 0.995^n passes 5% at the eleventh loss.
+    // 1 - 0.995^n exceeds 5% at the eleventh lost task.
     for _ in 0..10 {
         p.record_censored("a", 0.0);
     }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_old_regime_has_half_the_weight_after_138_observations() {
+fn earlier_observations_have_half_of_the_weight_after_138_new_ones() {
     let mut h = DecayingHistogram::new(limits::KEY_DECAY);
     for _ in 0..2000 {
         h.record(10.0);
@@ -64,19 +64,18 @@
         p.record_completion("m", 10.0, 0.0);
         p.record_completion("l", 100.0, 0.0);
     }
-    // The tertiles are 1 and 10: an estimate that reaches a boundary is
-    // counted as beyond it.
+    // The tertiles are 1 and 10: an estimate equal to a boundary belongs to the level above it.
     let b = p.boundaries_s().unwrap();
     assert!(
         b[0] >= 1.0 && b[0] < 1.1 && b[1] >= 10.0 && b[1] < 10.2,
         "{b:?}"
     );
     assert_eq!(p.level("l", 0.0), 2);
-    assert_eq!(p.level("nobody", 0.0), limits::DEFAULT_LEVEL);
+    assert_eq!(p.level("unknown", 0.0), limits::DEFAULT_LEVEL);
 }
 
 #[test]
-fn a_restored_snapshot_predicts_alike_and_an_unreadable_one_nothing() {
+fn a_restored_snapshot_predicts_the_same_and_an_unreadable_one_is_ignored() {
     let mut p = Predictor::new();
     for i in 0..300 {
         p.record_completion("a", 5.0, 0.0);
@@ -87,7 +86,7 @@
     assert!((x - y).abs() < 1.0, "{x} {y}");
     assert!(q.boundaries_s().is_some());
     let unreadable = PredictorSnapshot {
-        pooled: "junk".into(),
+        pooled: "not a histogram".into(),
         keys: Vec::new(),
     };
     assert_eq!(Predictor::restore(&unreadable, 0.0).boundaries_s(), None);
--- a/crates/sched/tests/provisioning.rs
+++ b/crates/sched/tests/provisioning.rs
@@ -1,4 +1,4 @@
-//! CPUs wanted, and the offers that are rented for them.
+//! Number of CPUs wanted, and choice of the offers to rent.
 
 use cherrywood_sched::provisioning::{
     CpuDemand, InstanceOffer, ProvisioningOrder, TeamDemand, plan_provisioning,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_offer_with_overdue_boots_is_rented_only_if_there_is_no_other() {
+fn an_offer_with_overdue_boots_is_rented_only_without_an_alternative() {
     let mut offers = [offer("a", 0.6, 0), offer("b", 0.6, 9)];
     offers[0].boots_overdue = true;
     assert_eq!(plan_provisioning(64.0, &offers), vec![order(1, 2)]);
@@ -40,21 +40,24 @@
 }
 
 #[test]
-fn of_offers_at_like_prices_the_one_that_boots_sooner_is_rented() {
+fn of_offers_at_similar_prices_the_one_that_boots_faster_is_rented() {
     let slow = InstanceOffer {
         boot_s: 50.0,
         ..offer("a", 0.56, 0)
     };
-    let quick = InstanceOffer {
+    let fast = InstanceOffer {
         boot_s: 20.0,
         ..offer("b", 0.6, 0)
     };
     assert_eq!(
-        plan_provisioning(32.0, &[slow.clone(), quick]),
+        plan_provisioning(32.0, &[slow.clone(), fast]),
         vec![order(1, 1)]
     );
-    let dear = offer("c", 2.4, 0);
-    assert_eq!(plan_provisioning(32.0, &[slow, dear]), vec![order(0, 1)]);
+    let expensive = offer("c", 2.4, 0);
+    assert_eq!(
+        plan_provisioning(32.0, &[slow, expensive]),
+        vec![order(0, 1)]
+    );
 }
 
 #[test]
@@ -70,7 +73,7 @@
     };
     assert_eq!(demand(team).wanted_cpus(60.0), 110.0);
     assert_eq!(demand(team).wanted_cpus(1.0), 210.0);
-    // A long queue behind a small limit keeps just that limit busy.
+    // With a long queue and a small team limit, only the CPUs of the limit are wanted.
     team.headroom_cpus = 40.0;
     assert_eq!(demand(team).wanted_cpus(60.0), 50.0);
 }
--- a/crates/sched/tests/queue.rs
+++ b/crates/sched/tests/queue.rs
@@ -3,7 +3,7 @@
 use cherrywood_limits as limits;
 use cherrywood_sched::queue::{Aging, MultiLevelQueue, Position, Selection};
 
-/// The range to serve next among those of eligible jobs.
+/// Returns the range to serve next among those of eligible jobs.
 fn select_eligible<J: Clone + PartialEq>(
     q: &mut MultiLevelQueue<J>,
     mut eligible: impl FnMut(&J, f64) -> bool,
@@ -17,7 +17,7 @@
     q.select(found)
 }
 
-/// Serves one task.
+/// Serves one task of an eligible job and returns it.
 fn serve_one<J: Clone + PartialEq>(
     q: &mut MultiLevelQueue<J>,
     eligible: impl FnMut(&J, f64) -> bool,
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn levels_that_all_have_work_share_it_8_to_3_to_1() {
+fn levels_that_all_have_work_are_served_8_to_3_to_1() {
     let mut q = MultiLevelQueue::default();
     for l in 0..3 {
         q.push_back(l, l, 0..1000, 0.0);
@@ -37,7 +37,7 @@
     for _ in 0..120 {
         served[serve_one(&mut q, |_, _| true).unwrap().0] += 1;
     }
-    // 120 pulls of equal cost: 80, 30 and 10, within one pull each.
+    // 120 tasks of equal cost: 80, 30 and 10, each within one task.
     for (n, want) in served.iter().zip([80i32, 30, 10]) {
         assert!((n - want).abs() <= 1, "{served:?}");
     }
@@ -55,14 +55,14 @@
         q.serve(&selection, 4, 1.0);
         served[selection.job] += 4;
     }
-    // 240 tasks: 160, 60 and 20, within one group each.
+    // 240 tasks: 160, 60 and 20, each within one group of 4.
     for (n, want) in served.iter().zip([160i32, 60, 20]) {
         assert!((n - want).abs() <= 4, "{served:?}");
     }
 }
 
 #[test]
-fn a_level_that_was_empty_has_no_credit_when_work_comes() {
+fn a_level_that_was_empty_has_no_credit_when_tasks_arrive() {
     let mut q = MultiLevelQueue::default();
     q.push_back(2, 2, 0..100, 0.0);
     for _ in 0..50 {
@@ -73,11 +73,14 @@
     for _ in 0..18 {
         low += i32::from(serve_one(&mut q, |_, _| true).unwrap().0 == 2);
     }
-    assert_eq!(low, 2, "one in nine, not a debt of fifty");
+    assert_eq!(
+        low, 2,
+        "one in nine, without credit for the 50 tasks served before"
+    );
 }
 
 #[test]
-fn pausing_aging_promotes_one_task_a_pass_unless_the_level_above_is_behind() {
+fn pausing_aging_promotes_one_task_per_pass_unless_the_level_above_is_behind() {
     let mut q = MultiLevelQueue::default();
     q.push_back(2, 'x', 0..10, 0.0);
     q.age(4.9);
@@ -85,18 +88,22 @@
     q.age(5.5);
     assert_eq!((q.waiting_tasks(2), q.waiting_tasks(1)), (9, 1));
     q.age(5.7);
-    assert_eq!(q.waiting_tasks(2), 9, "not before half a second has passed");
+    assert_eq!(
+        q.waiting_tasks(2),
+        9,
+        "no pass before half a second has passed"
+    );
     q.age(6.0);
     assert_eq!((q.waiting_tasks(2), q.waiting_tasks(1)), (8, 2));
-    // At 10.5 the first promoted task has waited 5 s in level 1, so that
-    // level is behind: it gets nothing, while its own oldest moves on.
+    // At 10.5 s the first promoted task has waited 5 s in level 1, so that level is behind: no
+    // task is promoted into it, while its own oldest task is promoted.
     let lens =
         |q: &MultiLevelQueue<char>| [q.waiting_tasks(2), q.waiting_tasks(1), q.waiting_tasks(0)];
     q.age(10.5);
     assert_eq!(lens(&q), [8, 1, 1]);
     q.age(11.0);
     assert_eq!(lens(&q), [8, 0, 2]);
-    // An empty level is not behind: promotion goes on.
+    // An empty level is not behind: promotion into it resumes.
     q.age(11.5);
     assert_eq!(lens(&q), [7, 1, 2]);
 }
@@ -117,8 +124,8 @@
     assert_eq!(left_in_lowest(Aging::Off), 40);
 }
 
-/// A pass keeps the positions of ranges while it serves others: none may shift, and what
-/// is emptied is neither served again nor counted as waiting.
+/// A pass keeps the positions of ranges while it serves other ranges: no position may shift, and
+/// an emptied range is neither served again nor counted as waiting.
 #[test]
 fn positions_stay_valid_while_ranges_are_emptied() {
     let mut q = MultiLevelQueue::default();
@@ -136,7 +143,7 @@
         q.discard(&selection, 9);
     }
     assert!(q.is_empty());
-    // A level that was emptied has no credit, though its ranges still stand there.
+    // A level that was emptied has no credit, although it still contains its emptied ranges.
     q.push_back(2, 'd', 0..50, 0.0);
     for _ in 0..50 {
         serve_one(&mut q, |_, _| true);
@@ -150,7 +157,7 @@
 }
 
 #[test]
-fn a_returned_task_is_served_first_and_an_ineligible_job_is_skipped() {
+fn a_task_pushed_to_the_front_is_served_first_and_an_ineligible_job_is_skipped() {
     let mut q = MultiLevelQueue::default();
     q.push_back(1, 'a', 0..2, 0.0);
     q.push_back(1, 'b', 0..1, 0.0);
--- a/crates/sched/tests/resources.rs
+++ b/crates/sched/tests/resources.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn each_component_alone_can_keep_a_task_out() {
+fn a_shortage_of_any_component_prevents_a_fit() {
     let free = resources(2.0, 1.0, 8.0);
     assert!(free.fits_in(free));
     assert!(!resources(2.1, 1.0, 8.0).fits_in(free));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn rounding_errors_of_sums_keep_nothing_out_of_what_is_free() {
+fn rounding_errors_of_sums_do_not_prevent_a_fit() {
     let three_tenths = resources(0.1, 0.0, 0.1) * 3.0;
     let free = resources(0.3, 0.0, 0.3);
     assert!(three_tenths.cpus > free.cpus, "the sum is rounded up");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn nothing_fits_into_overcommitted_resources_and_an_unlimited_one_never_limits() {
+fn no_task_fits_into_overcommitted_resources_and_unlimited_ones_impose_no_limit() {
     let overcommitted = resources(-2.0, 0.0, 4.0);
     assert_eq!(overcommitted.task_count(resources(1.0, 0.0, 1.0)), 0);
     let unlimited = Resources::INFINITE - resources(1.0e6, 8.0, 0.0);
--- a/crates/sched/tests/starvation.rs
+++ b/crates/sched/tests/starvation.rs
@@ -1,4 +1,4 @@
-//! When a job that was passed over must be placed before all else.
+//! Conditions under which a job that was passed over must be placed before all others.
 
 use cherrywood_limits as limits;
 use cherrywood_sched::starvation::PassedOverJob;
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn a_job_of_a_team_at_its_quota_starves_after_a_bounded_wait_started_or_not() {
+fn a_job_of_a_team_at_its_quota_starves_after_a_bounded_wait_whether_or_not_it_started() {
     assert!(AT_QUOTA.is_starving());
     let not_started = PassedOverJob {
         has_started: false,
