--- a/crates/sched/src/predictor.rs
+++ b/crates/sched/src/predictor.rs
@@ -189,14 +189,14 @@
     /// Returns the history of `key`, which is created if it does not exist.
     fn history_mut(&mut self, key: &str, now_s: f64) -> &mut KeyHistory {
         if !self.histories.contains_key(key) && self.histories.len() >= limits::KEYS_MAX {
-            self.forget_least_recently_active();
+            self.evict_least_recently_active();
         }
         self.histories
             .entry(key.to_string())
             .or_insert_with(|| KeyHistory::new(now_s))
     }
 
-    fn forget_least_recently_active(&mut self) {
+    fn evict_least_recently_active(&mut self) {
         let least = self
             .histories
             .iter()
