--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -1,4 +1,4 @@
-//! What a verdict and a table cost at 100 teams with 20 classes each: `cargo bench -p
+//! Cost of a decision and of a table with 100 teams of 20 classes each: `cargo bench -p
 //! cherrywood-admission`.
 
 use cherrywood_admission::{
@@ -11,11 +11,12 @@
 
 const TEAMS: usize = 100;
 const CLASSES: usize = 20;
-/// Jobs admitted in a window of 30 s, and refused ones that try on.
+/// Jobs admitted in a window of 30 s.
 const ADMITTED: u64 = 1200;
+/// Refused jobs that are being retried.
 const REFUSED: u64 = 3000;
 
-/// A book of that size under overload, and what its leader sees.
+/// Returns an admission controller of that size under overload, and the leader's cluster view.
 fn overload() -> (AdmissionController, ClusterView) {
     let name = |n: usize| {
         (
@@ -24,7 +25,7 @@
         )
     };
     let work = |n: u64| 50.0 + (n * 37 % 1000) as f64;
-    let mut book = AdmissionController::new(1, Default::default(), 0.0);
+    let mut admission = AdmissionController::new(1, Default::default(), 0.0);
     for n in 0..ADMITTED {
         let (team, class) = name(n as usize * 7 % (TEAMS * CLASSES));
         let at = 30.0 * n as f64 / ADMITTED as f64;
@@ -34,7 +35,7 @@
             job: JobHash(n),
             work_cpu_s: work(n),
         };
-        book.record_admission(&admitted, at);
+        admission.record_admission(&admitted, at);
     }
     let refused = |n: u64| {
         let (team, class) = name(n as usize * 11 % (TEAMS * CLASSES));
@@ -69,21 +70,21 @@
         served_share_floor: 0.6,
         shedding: Default::default(),
     };
-    (book, view)
+    (admission, view)
 }
 
 fn cost(c: &mut Criterion) {
-    let (mut book, view) = overload();
+    let (mut admission, view) = overload();
     let mut now = 30.0;
     c.bench_function("table", |b| {
         b.iter(|| {
             now += 1e-6;
-            black_box(book.refresh_table(&view, now))
+            black_box(admission.refresh_table(&view, now))
         });
     });
-    let table = book.table().clone();
-    assert!(!table.gates.is_empty(), "an overload has gates");
-    let asks: Vec<AdmissionRequest> = (0..1000u64)
+    let table = admission.table().clone();
+    assert!(!table.gates.is_empty(), "an overload causes gates");
+    let requests: Vec<AdmissionRequest> = (0..1000u64)
         .map(|n| AdmissionRequest {
             job: job_hash(&format!("wk-{n:06}")),
             class: table.gates[n as usize % table.gates.len()].class,
@@ -92,10 +93,10 @@
         })
         .collect();
     let mut n = 0;
-    c.bench_function("verdict", |b| {
+    c.bench_function("decision", |b| {
         b.iter(|| {
-            n = (n + 1) % asks.len();
-            black_box(decide(&table, &asks[n]))
+            n = (n + 1) % requests.len();
+            black_box(decide(&table, &requests[n]))
         });
     });
 }
--- a/crates/admission/src/allocation.rs
+++ b/crates/admission/src/allocation.rs
@@ -1,35 +1,35 @@
-//! Max-min fair allocation by progressive filling: the class with the smallest served share
-//! always gets its next smallest job admitted, until a capacity that this job needs has run out.
+//! Max-min fair allocation by progressive filling: the next smallest job of the class with the
+//! smallest served share is admitted, until a capacity that this job needs is exhausted.
 //!
-//! First, all jobs of teams whose whole work fits into their guarantees are admitted. Three
+//! First, all jobs of teams whose entire work fits into their guarantees are admitted. Three
 //! passes follow: every class up to a floor of its served share, then classes up to their teams'
-//! guarantees, then whatever is left.
+//! guarantees, then the remaining capacity.
 
 use cherrywood_wire::admission::{Shortage, TenantClassId};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Lower bound of a team's weight as a divisor, against division by zero.
+/// Lower bound of a team's weight as a divisor, to avoid division by zero.
 const MIN_WEIGHT: f64 = 1e-6;
-/// A job is admitted if a capacity holds at least the job's cost divided by this. The last job
-/// may so overdraw the capacity; otherwise large jobs would never fit.
+/// A job is admitted if each capacity that it needs has at least the job's cost divided by this.
+/// The last job may thus overdraw a capacity; otherwise large jobs would never fit.
 const OVERDRAFT_DIVISOR: f64 = 2.0;
 
 /// A resource that may be scarce, in a unit of its own: CPU-seconds of work, or jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Capacity {
-    /// What may still be allocated; infinite if the resource isn't scarce.
+    /// Amount that may still be allocated; infinite if the resource is not scarce.
     pub available: f64,
-    /// What each job takes, whatever its work.
+    /// Amount that each job takes, whatever its work.
     pub per_job: f64,
-    /// What each CPU-second of a job's work takes.
+    /// Amount that each CPU-second of a job's work takes.
     pub per_cpu_s: f64,
-    /// The shortage that is reported when it has run out.
+    /// The shortage that is reported when the capacity is exhausted.
     pub shortage: Shortage,
 }
 
 impl Capacity {
-    /// A capacity for work, in CPU-seconds.
+    /// Returns a capacity for work, in CPU-seconds.
     pub fn of_work(available: f64, shortage: Shortage) -> Self {
         Capacity {
             available,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A capacity for a number of jobs, whatever their work.
+    /// Returns a capacity for a number of jobs, whatever their work.
     pub fn of_jobs(available: f64, shortage: Shortage) -> Self {
         Capacity {
             available,
@@ -53,7 +53,7 @@
         self.per_job + self.per_cpu_s * work_cpu_s
     }
 
-    /// Is there enough for a job with this work?
+    /// Returns whether there is enough capacity for a job with this work.
     pub(crate) fn has_room_for(&self, work_cpu_s: f64) -> bool {
         self.available >= self.cost(work_cpu_s) / OVERDRAFT_DIVISOR
     }
@@ -63,12 +63,12 @@
     }
 }
 
-/// A job that wants to be admitted.
+/// A job offered for admission.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobOffer {
-    /// Its work as compared with the class's gate: the less, the longer the job has waited.
+    /// The work that is compared with the class's gate: the longer the job has waited, the less.
     pub discounted_work_cpu_s: f64,
-    /// Its expected work.
+    /// The job's expected work.
     pub work_cpu_s: f64,
 }
 
@@ -77,25 +77,25 @@
 pub struct ClassDemand {
     /// The class.
     pub class: TenantClassId,
-    /// Index of its team among the guarantees.
+    /// Index of the class's team among the guarantees.
     pub team: usize,
-    /// The operators' weight of the team, by which its served shares are divided.
+    /// The team's configured weight, by which its served shares are divided.
     pub weight: f64,
-    /// Recent jobs offered, without those in `offers`; a decayed count.
+    /// Number of jobs offered recently, without those in `offers`; decays.
     pub offered: f64,
-    /// Recent jobs admitted, without those in `offers`; a decayed count.
+    /// Number of jobs admitted recently, without those in `offers`; decays.
     pub admitted: f64,
     /// The jobs to decide on, ascending by discounted work.
     pub offers: Vec<JobOffer>,
-    /// Indices of the capacities that its jobs take from.
+    /// Indices of the capacities that the class's jobs take from.
     pub capacities: Vec<usize>,
-    /// All unfinished work of its team fits into the team's guarantee: its jobs are admitted
-    /// whatever other classes get.
+    /// Whether all unfinished work of the team fits into the team's guarantee: the class's jobs
+    /// are then admitted regardless of the allocations of other classes.
     pub within_guarantee: bool,
 }
 
 impl ClassDemand {
-    /// The weighted served share once the first `admitted_offers` of the offers are admitted:
+    /// Returns the weighted served share once the first `admitted_offers` offers are admitted:
     /// jobs admitted, divided by jobs offered and by the team's weight.
     fn served_share(&self, admitted_offers: usize) -> f64 {
         let offered = self.offered + self.offers.len() as f64;
@@ -104,7 +104,7 @@
     }
 }
 
-/// A class that may get its next job.
+/// A class whose next job may be admitted.
 #[derive(Debug, PartialEq)]
 struct Candidate {
     served_share: f64,
@@ -119,7 +119,7 @@
     }
 }
 impl Ord for Candidate {
-    /// The least served first, in a heap that gives the greatest first.
+    /// Orders the least served class as the greatest, since the heap returns the greatest first.
     fn cmp(&self, other: &Self) -> Ordering {
         let share = other.served_share.total_cmp(&self.served_share);
         share.then(other.class.cmp(&self.class))
@@ -132,14 +132,14 @@
     Floor,
     /// Classes up to their teams' guarantees.
     Guarantee,
-    /// Whatever is left.
+    /// All classes, from the remaining capacity.
     Rest,
 }
 
-/// How many of its offers, the smallest first, each class gets admitted.
+/// Returns for each class how many of its offers, the smallest first, are admitted.
 ///
-/// `guarantees_cpu_s` holds for each team the work for which its guarantee leaves room. What is
-/// admitted is subtracted from it and from the capacities. `floor` is a weighted served share.
+/// `guarantees_cpu_s` holds for each team the work for which its guarantee leaves room. Admitted
+/// work is subtracted from it and from the capacities. `floor` is a weighted served share.
 pub fn allocate_max_min(
     classes: &[ClassDemand],
     capacities: &mut [Capacity],
@@ -160,14 +160,15 @@
     allocation.admitted
 }
 
-/// An allocation in the making.
+/// State of an allocation in progress.
 struct Allocation<'a> {
     classes: &'a [ClassDemand],
     capacities: &'a mut [Capacity],
     guarantees_cpu_s: &'a mut [f64],
-    /// Offers admitted, by class.
+    /// Number of offers admitted, by class.
     admitted: Vec<usize>,
-    /// Classes whose next job has no room: capacities only shrink, so it will have none later.
+    /// Whether there is no room for a class's next job, by class. Capacities only shrink, so there
+    /// will be none later.
     exhausted: Vec<bool>,
 }
 
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Admits one job after another, always of the class with the smallest served share.
+    /// Admits one job after another, each of the class with the smallest served share.
     fn fill(&mut self, pass: Pass, floor: f64) {
         let open = (0..self.classes.len()).filter(|class| self.is_open(*class));
         let mut candidates: BinaryHeap<Candidate> =
@@ -194,7 +195,7 @@
         }) = candidates.pop()
         {
             if pass == Pass::Floor && served_share >= floor {
-                // All others are served at least as much.
+                // The served shares of all other classes are at least as large.
                 break;
             }
             if !self.has_room(class) {
@@ -222,12 +223,13 @@
         }
     }
 
-    /// Work of the class's next offer.
+    /// Returns the work of the class's next offer.
     fn next_work_cpu_s(&self, class: usize) -> f64 {
         self.classes[class].offers[self.admitted[class]].work_cpu_s
     }
 
-    /// Is there room for the class's next offer in all capacities that it takes from?
+    /// Returns whether there is room for the class's next offer in all capacities that it takes
+    /// from.
     fn has_room(&self, class: usize) -> bool {
         let work_cpu_s = self.next_work_cpu_s(class);
         let capacities = self.classes[class].capacities.iter();
@@ -235,13 +237,13 @@
         capacities.all(|capacity| capacity.has_room_for(work_cpu_s))
     }
 
-    /// Does the class's next offer fit into its team's guarantee?
+    /// Returns whether the class's next offer fits into its team's guarantee.
     fn is_guaranteed(&self, class: usize) -> bool {
         let guarantee_cpu_s = self.guarantees_cpu_s.get(self.classes[class].team);
         guarantee_cpu_s.is_some_and(|left| *left >= self.next_work_cpu_s(class))
     }
 
-    /// Admits the class's next offer without a check for room.
+    /// Admits the class's next offer without checking for room.
     fn admit_next(&mut self, class: usize) {
         let work_cpu_s = self.next_work_cpu_s(class);
         let demand = &self.classes[class];
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,5 +1,5 @@
 //! The leader's admission controller: counts of the jobs of each class that were offered,
-//! admitted and done, the fleet's throughput, and the table that follows from them.
+//! admitted and done, the fleet's throughput, and the table computed from them.
 
 use crate::allocation::{Capacity, ClassDemand, allocate_max_min};
 use crate::cluster_view::ClusterView;
@@ -15,29 +15,29 @@
 };
 use std::collections::BTreeMap;
 
-/// Multiple of `limits::USER_GIVE_UP_AFTER_S` for which a job is remembered as offered: a retry that
-/// comes later counts as another offer.
+/// Multiple of `limits::USER_GIVE_UP_AFTER_S` for which a job is remembered as offered: a later
+/// retry counts as another offer.
 const OFFER_MEMORY: f64 = 2.0;
 
 /// A job that was admitted at some controller.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmittedJob<'a> {
-    /// The name of its team.
+    /// Name of the job's team.
     pub team: &'a str,
-    /// The name of its class.
+    /// Name of the job's class.
     pub class: &'a str,
-    /// The job.
+    /// Hash of the job's id.
     pub job: JobHash,
-    /// Its expected work.
+    /// The job's expected work, CPU-seconds.
     pub work_cpu_s: f64,
 }
 
-/// The part of admission that only the leader runs: it makes the [`AdmissionTable`] by which
-/// all controllers decide.
+/// The part of admission control that only the leader runs: it computes the [`AdmissionTable`] by
+/// which all controllers decide.
 #[derive(Debug)]
 pub struct AdmissionController {
     statistics: BTreeMap<TenantClassId, ClassStatistics>,
-    /// When jobs that were counted as offered were last seen, s on the caller's clock.
+    /// Time at which each job counted as offered was last seen, s on the caller's clock.
     offered_at: BTreeMap<JobHash, f64>,
     window: AdmissionWindow,
     throughput: Throughput,
@@ -47,7 +47,7 @@
     load: f64,
 }
 
-/// A newly computed table; it is put in force unless it differs too little from the present one.
+/// A newly computed table, put in force unless it differs too little from the present one.
 struct Draft {
     gates: Vec<Gate>,
     shortage: Shortage,
@@ -55,7 +55,8 @@
 }
 
 impl AdmissionController {
-    /// The controller of a leader elected in `term`, from what the last one stored.
+    /// Returns the controller of a leader elected in `term`, from the state that the last leader
+    /// stored.
     pub fn new(term: u64, stored: AdmissionValue, now_s: f64) -> AdmissionController {
         let classes = stored.classes.into_iter();
         let statistics = classes.map(ClassStatistics::restore);
@@ -77,39 +78,39 @@
         }
     }
 
-    /// The table in force.
+    /// Returns the table in force.
     pub fn table(&self) -> &AdmissionTable {
         &self.table
     }
 
-    /// Work that waits, divided by the work that may wait, when the table was last made; 1 is
-    /// full.
+    /// Returns the waiting work divided by the work that may wait, when the table was last
+    /// computed; 1 is full.
     pub fn load(&self) -> f64 {
         self.load
     }
 
-    /// Was the fleet unable to grow when the table was last made?
+    /// Returns whether the fleet was unable to grow when the table was last computed.
     pub fn at_capacity(&self) -> bool {
         self.at_capacity
     }
 
-    /// Expected work, CPU-seconds, that a CPU does in a second.
+    /// Returns the expected work, CPU-seconds, that a CPU does in a second.
     pub fn throughput(&self) -> f64 {
         self.throughput.per_cpu()
     }
 
-    /// All classes that are known.
+    /// Returns the statistics of all known classes.
     pub fn class_statistics(&self) -> impl Iterator<Item = (TenantClassId, &ClassStatistics)> {
         self.statistics.iter().map(|(class, s)| (*class, s))
     }
 
-    /// A value for each class name that is known, whichever teams have such a class.
+    /// Maps each known class name, of whichever teams, to a value.
     pub fn map_classes<T>(&self, value: impl Fn(&str) -> T) -> BTreeMap<String, T> {
         let names = self.statistics.values().map(|s| s.class.as_str());
         names.map(|name| (name.to_string(), value(name))).collect()
     }
 
-    /// What the next leader starts from.
+    /// Returns the state from which the next leader starts.
     pub fn stored_value(&self) -> AdmissionValue {
         let classes = self.statistics.values().map(ClassStatistics::counts);
         AdmissionValue {
@@ -121,12 +122,12 @@
         }
     }
 
-    /// A task with this expected work is done.
+    /// Records that a task with this expected work is done.
     pub fn record_work(&mut self, work_cpu_s: f64) {
         self.throughput.record_work(work_cpu_s);
     }
 
-    /// `cpus` CPUs were up for `elapsed_s`, with work waiting for them all the time
+    /// Records that `cpus` CPUs were up for `elapsed_s`, with work waiting for them all the time
     /// (`saturated`) or not.
     pub fn record_capacity(&mut self, cpus: f64, elapsed_s: f64, saturated: bool) {
         self.throughput.record_capacity(cpus, elapsed_s, saturated);
@@ -138,7 +139,7 @@
         statistics.or_insert_with(|| ClassStatistics::new(team, class))
     }
 
-    /// A job was admitted just now.
+    /// Records that a job was admitted now.
     pub fn record_admission(&mut self, admitted: &AdmittedJob<'_>, now_s: f64) {
         let newly_offered = self.offered_at.insert(admitted.job, now_s).is_none();
         let statistics = self.statistics_mut(admitted.team, admitted.class);
@@ -154,18 +155,18 @@
         });
     }
 
-    /// A job was admitted under an earlier leader, which counted it.
+    /// Records a job that was admitted under an earlier leader, which counted it.
     pub fn record_recovered_job(&mut self, admitted: &AdmittedJob<'_>, now_s: f64) {
         self.offered_at.insert(admitted.job, now_s);
         self.statistics_mut(admitted.team, admitted.class);
     }
 
-    /// A job of the class is done.
+    /// Records that a job of the class is done.
     pub fn record_completion(&mut self, team: &str, class: &str) {
         self.statistics_mut(team, class).record_completion();
     }
 
-    /// A job of the class was cancelled.
+    /// Records that a job of the class was cancelled.
     pub fn record_cancellation(&mut self, team: &str, class: &str) {
         self.statistics_mut(team, class).record_cancellation();
     }
@@ -182,7 +183,7 @@
             .retain(|_, at| now_s - *at < limits::USER_GIVE_UP_AFTER_S * OFFER_MEMORY);
     }
 
-    /// Makes the table anew; true if it changed by more than the tolerance.
+    /// Recomputes the table; returns true if it changed by more than the tolerance.
     pub fn refresh_table(&mut self, view: &ClusterView, now_s: f64) -> bool {
         self.decay(now_s);
         self.at_capacity = view.at_capacity;
@@ -199,7 +200,7 @@
         self.adopt(draft, &view.median_runtimes)
     }
 
-    /// Jobs refused at other controllers count as offered when they are first reported.
+    /// Counts jobs refused at any controller as offered when they are first reported.
     fn count_refused_offers(&mut self, view: &ClusterView, now_s: f64) {
         for refused in &view.refused_jobs {
             if self.offered_at.insert(refused.job, now_s).is_none()
@@ -246,28 +247,28 @@
         }
     }
 
-    /// The present gates of classes of which no job was offered recently. They are kept while
-    /// there is no room: a new leader, which has seen no offers yet, would otherwise open the
-    /// gates of all classes.
+    /// Returns the present gates of classes of which no job was offered recently. They are kept
+    /// while there is no room: a new leader, which has seen no offers yet, would otherwise open
+    /// the gates of all classes.
     fn gates_of_silent_classes(&self, classes: &[ClassDemand]) -> impl Iterator<Item = Gate> {
-        let is_heard_of = move |gate: &Gate| {
+        let is_active = move |gate: &Gate| {
             let own = |c: &ClassDemand| {
                 c.class == gate.class || largest_jobs_gate_id(c.class) == gate.class
             };
             classes.iter().any(own)
         };
         let gates = self.table.gates.iter().copied();
-        gates.filter(move |gate| !is_heard_of(gate))
+        gates.filter(move |gate| !is_active(gate))
     }
 
-    /// Seconds until there may be room for refused work.
+    /// Returns the seconds until there may be room for refused work.
     fn relief_s(&self) -> f32 {
         let excess = (self.load - limits::GATES_OPEN_LOAD).max(0.0);
         (excess * limits::DEFAULT_COMPLETION_TARGET_S * limits::BACKLOG_MAX_TARGETS) as f32
     }
 
-    /// Puts a draft in force; true if the table changed. A gate that changed by no more than
-    /// `limits::GATE_CHANGE_MIN_SHARE` keeps its present value, so that small changes aren't
+    /// Puts a draft in force; returns true if the table changed. A gate that changed by no more
+    /// than `limits::GATE_CHANGE_MIN_SHARE` keeps its present value, so that small changes are not
     /// sent to every controller.
     fn adopt(&mut self, mut draft: Draft, median_runtimes: &[MedianRuntime]) -> bool {
         for gate in &mut draft.gates {
@@ -300,8 +301,8 @@
     }
 }
 
-/// The shortage of the first of the class's capacities that has no room for its next offer,
-/// given what is left of them.
+/// Returns the shortage of the first of the class's capacities that has no room for the class's
+/// next offer, given the remaining capacities.
 fn first_shortage(
     class: &ClassDemand,
     admitted: usize,
--- a/crates/admission/src/demand.rs
+++ b/crates/admission/src/demand.rs
@@ -1,4 +1,4 @@
-//! Demand of the classes and the capacities for it: the problem that an allocation solves.
+//! Demand of the classes and capacities for it: the input of an allocation.
 
 use crate::allocation::{Capacity, ClassDemand, JobOffer};
 use crate::cluster_view::ClusterView;
@@ -9,20 +9,20 @@
 use cherrywood_wire::admission::{JobHash, Shortage, TenantClassId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lower bound of the full backlog as a divisor, against division by zero.
+/// Lower bound of the full backlog as a divisor, to avoid division by zero.
 const MIN_FULL_BACKLOG_CPU_S: f64 = 1.0;
 
-/// What an allocation is made from.
+/// Input of an allocation.
 pub(crate) struct AllocationProblem {
     pub(crate) classes: Vec<ClassDemand>,
     pub(crate) capacities: Vec<Capacity>,
     /// Work for which each team's guarantee leaves room, CPU-seconds, in the order of the view.
     pub(crate) guarantees_cpu_s: Vec<f64>,
-    /// Work that waits, divided by the work that may wait; 1 is full.
+    /// Waiting work divided by the work that may wait; 1 is full.
     pub(crate) load: f64,
 }
 
-/// What the controller knows when it makes a table.
+/// State of the controller from which it computes a table.
 pub(crate) struct ProblemInputs<'a> {
     pub(crate) statistics: &'a BTreeMap<TenantClassId, ClassStatistics>,
     pub(crate) window: &'a AdmissionWindow,
@@ -31,23 +31,23 @@
     pub(crate) view: &'a ClusterView,
 }
 
-/// Everything that may be scarce: the fleet, the teams' quotas and the store's writes.
+/// All resources that may be scarce: the fleet, the teams' quotas and the key-value store's writes.
 struct ScarceCapacities {
     capacities: Vec<Capacity>,
     layout: CapacityLayout,
-    /// The load of the fleet (see [`AllocationProblem::load`]) for the completion target for
-    /// which it is highest.
+    /// The load of the fleet (see [`AllocationProblem::load`]) at the completion target with the
+    /// highest load.
     load: f64,
 }
 
 /// Indices of the capacities of an [`AllocationProblem`].
 struct CapacityLayout {
-    /// Completion targets that classes have, ascending: the fleet's capacities come first, one
-    /// for the work of each target and all shorter ones.
+    /// Distinct completion targets of the classes, ascending. The fleet's capacities come first:
+    /// one per target, for the work of classes with this or a shorter target.
     completion_targets_s: Vec<f64>,
     first_team: usize,
     store_writes: usize,
-    /// The fleet's capacity less all work that waits: what best-effort work may use.
+    /// The fleet's capacity less all waiting work, which is available to best-effort work.
     idle_fleet: usize,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Backlog of each team, in the order of the view.
+    /// Returns the backlog of each team, in the order of the view.
     fn team_backlogs_cpu_s(&self) -> Vec<f64> {
         let mut by_name: BTreeMap<&str, f64> = BTreeMap::new();
         for (class, backlog_cpu_s) in &self.view.backlog_cpu_s {
@@ -79,18 +79,20 @@
             .collect()
     }
 
-    /// Work that may be admitted for `cpus` during a window: what they do in it, and the part of
-    /// the room left in their backlog that is filled in it, at a rate that would fill the room in
-    /// `limits::BACKLOG_SETTLE_S`. While the backlog exceeds its bound less is admitted, so that
-    /// it shrinks, but always `limits::INFLOW_MIN_SHARE` of what they do.
+    /// Returns the work that may be admitted for `cpus` during a window: the work that the CPUs do
+    /// in it, plus the part of the room left in their backlog that is filled in it, at a rate that
+    /// would fill the room in `limits::BACKLOG_SETTLE_S`. While the backlog exceeds its bound, less
+    /// is admitted, so that the backlog shrinks, but always at least `limits::INFLOW_MIN_SHARE` of
+    /// the work that the CPUs do.
     fn admissible_cpu_s(&self, cpus: f64, backlog_cpu_s: f64, target_s: f64) -> f64 {
         let rate = cpus * self.throughput;
-        let lacking_cpu_s = rate * target_s * limits::BACKLOG_MAX_TARGETS - backlog_cpu_s;
-        let inflow = rate + lacking_cpu_s / limits::BACKLOG_SETTLE_S;
+        let room_cpu_s = rate * target_s * limits::BACKLOG_MAX_TARGETS - backlog_cpu_s;
+        let inflow = rate + room_cpu_s / limits::BACKLOG_SETTLE_S;
         inflow.max(rate * limits::INFLOW_MIN_SHARE) * self.window.length_s()
     }
 
-    /// The same for all CPUs of the fleet: without bound while the fleet can grow.
+    /// Returns the work that may be admitted for all CPUs of the fleet during a window: unbounded
+    /// while the fleet can grow.
     fn admissible_to_fleet_cpu_s(&self, backlog_cpu_s: f64, target_s: f64) -> f64 {
         if self.view.at_capacity {
             self.admissible_cpu_s(self.view.available_cpus, backlog_cpu_s, target_s)
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Work for which each team's guarantee leaves room, as far as the fleet can keep the
-    /// guarantees.
+    /// Returns the work for which each team's guarantee leaves room, to the extent that the fleet
+    /// can meet the guarantees.
     fn guarantees_cpu_s(&self, team_backlogs: &[f64]) -> Vec<f64> {
         let share = self.view.deliverable_guarantee_share();
         let teams = self.view.teams.iter().zip(team_backlogs);
@@ -116,7 +118,7 @@
         let mut capacities = Vec::new();
         let mut load: f64 = 0.0;
         let completion_targets_s = self.distinct_targets_s();
-        // Work that must be done sooner must fit by itself, too.
+        // The work with shorter targets must also fit on its own.
         for target_s in &completion_targets_s {
             let backlog_cpu_s = self.firm_backlog_within_cpu_s(*target_s);
             load = load.max(self.load(backlog_cpu_s, *target_s));
@@ -126,13 +128,13 @@
         let first_team = capacities.len();
         capacities.extend(self.team_capacities(team_backlogs));
         let store_writes = capacities.len();
-        // A job's changes are spread over its lifetime, so a burst may take a whole window's
-        // worth at once, also from a leader whose own window is still short: when that window
-        // (3 s) set the bound, 46 of the 300 jobs of a day's first second were refused.
+        // A job's changes are spread over its lifetime, so a burst may use the changes of a whole
+        // window at once, even if the leader's own window is still short: with the short window
+        // (3 s) as the bound, 46 of the 300 jobs of a day's first second were refused.
         let jobs = self.view.jobs_per_s * limits::OFFERED_WINDOW_S;
         capacities.push(Capacity::of_jobs(jobs, Shortage::StoreWrites));
-        // Best-effort work must not cause the refusal of other work, so it may use only what all
-        // waiting work leaves idle.
+        // Best-effort work must not cause the refusal of other work, so it may use only the
+        // capacity that all waiting work leaves idle.
         let idle_fleet = capacities.len();
         let backlog_cpu_s: f64 = self.view.backlog_cpu_s.values().sum();
         let available =
@@ -160,8 +162,8 @@
         targets_s
     }
 
-    /// Backlog of the classes whose jobs should be done in `target_s` or sooner, without
-    /// best-effort work.
+    /// Returns the backlog of the classes whose jobs should be done in `target_s` or sooner,
+    /// without best-effort work.
     fn firm_backlog_within_cpu_s(&self, target_s: f64) -> f64 {
         let is_within = |class: &TenantClassId| {
             let statistics = self.statistics.get(class);
@@ -174,7 +176,7 @@
             .sum()
     }
 
-    /// A backlog, divided by the backlog that may wait.
+    /// Returns a backlog divided by the backlog that may wait.
     fn load(&self, backlog_cpu_s: f64, target_s: f64) -> f64 {
         let full_cpu_s =
             self.view.available_cpus * self.throughput * target_s * limits::BACKLOG_MAX_TARGETS;
@@ -193,8 +195,8 @@
         })
     }
 
-    /// The demand of each class: its jobs that were admitted in the window, as an estimate of
-    /// those that arrive next, and its refused jobs that are still retrying.
+    /// Returns the demand of each class: its jobs that were admitted in the window, as an estimate
+    /// of the jobs that arrive next, and its refused jobs that are still being retried.
     fn class_demands(&self, layout: &CapacityLayout) -> Vec<ClassDemand> {
         let admitted_in_window = self.admitted_in_window();
         let teams = self.view.teams.iter().enumerate();
@@ -255,9 +257,9 @@
         admitted
     }
 
-    /// Indices of the capacities that jobs of a class take from: the fleet's for its target
-    /// and all longer ones, its team's, the key-value store's, and for best-effort work also
-    /// what all waiting work leaves idle.
+    /// Returns the indices of the capacities that jobs of a class take from: the fleet's for the
+    /// class's target and all longer ones, its team's, the key-value store's, and for best-effort
+    /// work also the capacity that all waiting work leaves idle.
     fn capacities_of(
         &self,
         class: TenantClassId,
@@ -278,7 +280,7 @@
         capacities
     }
 
-    /// Marks the classes of teams all of whose unfinished work fits into their guarantees.
+    /// Marks the classes of teams whose unfinished work all fits into their guarantees.
     fn mark_within_guarantees(&self, classes: &mut [ClassDemand], team_backlogs: &[f64]) {
         let share = self.view.deliverable_guarantee_share();
         let mut offered_cpu_s = vec![0.0; self.view.teams.len()];
--- a/crates/admission/src/gates.rs
+++ b/crates/admission/src/gates.rs
@@ -1,4 +1,4 @@
-//! The gates that admit as many jobs of a class as the allocation gives it.
+//! Gates that admit as many jobs of a class as its allocation allows.
 
 use crate::allocation::{ClassDemand, JobOffer};
 use crate::cluster_view::SheddingPolicy;
@@ -6,11 +6,11 @@
 use cherrywood_limits::admission as limits;
 use cherrywood_wire::admission::Gate;
 
-/// One in this many of a class's offers belongs to its largest jobs.
+/// Ratio of a class's offers to those that count as its largest jobs.
 const LARGEST_JOBS_DIVISOR: usize = 10;
 
-/// The gates of a class that gets the first `admitted` of its offers. There must be more offers
-/// than that.
+/// Returns the gates of a class of which the first `admitted` offers are admitted. The class must
+/// have more offers than that.
 pub(crate) fn class_gates(
     demand: &ClassDemand,
     admitted: usize,
@@ -27,6 +27,7 @@
     }
 }
 
+/// Returns a gate that admits a share of all jobs, whatever their work.
 fn share_of_all(demand: &ClassDemand, share: f32) -> Gate {
     Gate {
         class: demand.class,
@@ -35,15 +36,15 @@
     }
 }
 
-/// Admits a fixed share of the largest tenth of the jobs, and of the others the smallest ones
-/// that fit into the room that is left. To refuse only the largest jobs would admit the most
-/// jobs, but none of the largest.
+/// Returns gates that admit a fixed share of the largest tenth of the jobs, and of the other jobs
+/// the smallest ones that fit into the remaining room. Refusing only the largest jobs would admit
+/// the most jobs, but none of the largest.
 fn size_aware_gates(demand: &ClassDemand, admitted: usize) -> Vec<Gate> {
     let mut works: Vec<f64> = demand.offers.iter().map(|o| o.work_cpu_s).collect();
     works.sort_by(f64::total_cmp);
     let first_large = works.len() - works.len().div_ceil(LARGEST_JOBS_DIVISOR);
     let large_from = works[first_large] * (1.0 - limits::SAME_WORK_TOLERANCE);
-    // Too few offers, or all with about the same work: there is no largest tenth.
+    // With too few offers, or offers of about the same work, there is no largest tenth.
     if works.len() < limits::SIZE_AWARE_MIN_OFFERS || works[0] >= large_from {
         return vec![gate_after(demand, admitted)];
     }
@@ -67,8 +68,8 @@
     offers.iter().map(|offer| offer.work_cpu_s).sum()
 }
 
-/// How many offers, the smallest first, fit into `room` (CPU-seconds). Of those with `large_from`
-/// work or more only the rest counts that the share admitted by the second gate leaves.
+/// Returns how many offers, the smallest first, fit into `room` (CPU-seconds). Of offers with
+/// `large_from` work or more, only the part that the second gate does not admit counts.
 fn smallest_that_fit(offers: &[JobOffer], large_from: f64, share: f64, room: f64) -> usize {
     let mut left = room;
     let mut count = 0;
@@ -87,22 +88,25 @@
     count
 }
 
-/// The gate of a class that gets the first `admitted` of its offers. Its bound lies between the
-/// work of the last of them and that of the next; if the two have about the same work, it is
-/// that work, and a share of the offers with it is admitted.
+/// Returns the gate of a class of which the first `admitted` offers are admitted. Its bound lies
+/// between the work of the last admitted offer and that of the next one; if the two are about the
+/// same, the bound is that work, and a share of the offers with that work is admitted.
 fn gate_after(demand: &ClassDemand, admitted: usize) -> Gate {
     let next = demand.offers[admitted].discounted_work_cpu_s;
-    let alike = |offer: &&JobOffer| {
+    let has_same_work = |offer: &&JobOffer| {
         (offer.discounted_work_cpu_s - next).abs() <= next * limits::SAME_WORK_TOLERANCE
     };
-    let all_alike = demand.offers.iter().filter(alike).count();
-    let admitted_alike = demand.offers[..admitted].iter().filter(alike).count();
-    if admitted_alike > 0 || admitted == 0 {
+    let same_work = demand.offers.iter().filter(has_same_work).count();
+    let admitted_same_work = demand.offers[..admitted]
+        .iter()
+        .filter(has_same_work)
+        .count();
+    if admitted_same_work > 0 || admitted == 0 {
         // If no offer is admitted, jobs smaller than every offer still pass.
         return Gate {
             class: demand.class,
             max_work_cpu_s: next,
-            share: admitted_alike as f32 / all_alike as f32,
+            share: admitted_same_work as f32 / same_work as f32,
         };
     }
     let last = demand.offers[admitted - 1].discounted_work_cpu_s;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,26 +1,27 @@
-//! Admission control: which jobs are admitted when not all can be served.
+//! Admission control: the choice of the jobs to admit when not all can be served.
 //!
 //! The leader's [`AdmissionController`] counts the jobs of each tenant class that were offered,
-//! admitted and done, measures the fleet's throughput, and makes a table from both. For each
-//! class whose jobs don't all fit, the table holds a *gate*: the work below which a job is
-//! admitted, and the share of jobs that is admitted of those with about that much work (a gate
+//! admitted and done, measures the fleet's throughput, and computes a table from both. For each
+//! class whose jobs don't all fit, the table holds a *gate*: a bound on work below which a job is
+//! admitted, and the share of the jobs with about that much work that is admitted (a gate
 //! without a bound on work admits a share of all jobs). A second gate may admit a share of the
-//! class's largest jobs. All controllers have the table and answer users by [`decide`], a pure
-//! function, so that they agree; they send each other the refusals in their [`RecentRefusals`].
+//! class's largest jobs. All controllers have the table and respond to users by [`decide`], a
+//! pure function, so that they agree; they send each other the refusals in their
+//! [`RecentRefusals`].
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`controller`] | the leader's state, and the table that follows from it |
+//! | [`controller`] | the leader's state, and the table computed from it |
 //! | [`statistics`], [`throughput`] | job counts of each class, and expected work done per CPU |
-//! | [`cluster_view`] | what the leader sees when it makes a table |
+//! | [`cluster_view`] | the state of the cluster from which the leader computes a table |
 //! | [`allocation`] | max-min fair shares of scarce capacities |
-//! | [`decision`] | admit or refuse one job |
-//! | [`refusals`] | jobs that were refused and may try again |
+//! | [`decision`] | admission or refusal of one job |
+//! | [`refusals`] | jobs that were refused and may be retried |
 //! | [`under_served`] | admitted classes whose jobs wait too long |
 //!
-//! A *tenant class* is one class of jobs of one team. Work is counted in CPU-seconds, times in
-//! seconds on a steady clock of the caller's. No I/O and no clock. docs/admission.md has the
-//! reasons and the bounds.
+//! A *tenant class* is one class of jobs of one team. Work is measured in CPU-seconds, and times
+//! are seconds on the caller's steady clock. The crate does no I/O and reads no clock.
+//! docs/admission.md gives the reasons and the bounds.
 
 #![deny(missing_docs)]
 
--- a/crates/admission/src/refusals.rs
+++ b/crates/admission/src/refusals.rs
@@ -1,8 +1,9 @@
-//! The jobs that were refused recently, here and at the other controllers: since when they have
-//! been retrying, and their expected work.
+//! Jobs that were refused recently, at this controller and at the others: the time since which
+//! they are being retried, and their expected work.
 //!
-//! Controllers send each other their refusals, with ages in place of times, since their clocks
-//! differ. Each refusal made here has a sequence number, so that a peer is sent each once.
+//! Controllers send each other their refusals, with ages instead of times because their clocks
+//! differ. Each refusal at this controller has a sequence number, so that it is sent to each peer
+//! once.
 
 use cherrywood_limits::admission as limits;
 use cherrywood_wire::admission::{JobHash, RefusedJob, TenantClassId};
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Is its user likely to try again?
+    /// Returns whether the user is likely to retry the job.
     fn is_retrying(&self, now_s: f64) -> bool {
         now_s - self.last_at <= limits::RETRY_EXPECTED_S
             && now_s - self.first_at <= limits::USER_GIVE_UP_AFTER_S
@@ -40,29 +41,29 @@
 pub struct RefusalBatch {
     /// The jobs that were refused.
     pub refused: Vec<RefusedJob>,
-    /// The sequence number to ask from next.
+    /// The sequence number from which to request the next batch.
     pub next_sequence: u64,
 }
 
-/// Jobs refused recently. Bounded by `limits::REFUSED_JOBS_REMEMBERED_MAX`: beyond it the job
-/// whose last attempt is longest ago is forgotten.
+/// Jobs refused recently, at most `limits::REFUSED_JOBS_REMEMBERED_MAX`: beyond this the job with
+/// the oldest last attempt is evicted.
 #[derive(Debug, Default)]
 pub struct RecentRefusals {
     jobs: BTreeMap<JobHash, Attempts>,
-    /// Jobs refused here, oldest refusal first, to be sent to the peers.
+    /// Jobs refused at this controller, oldest refusal first, to be sent to the peers.
     local: VecDeque<JobHash>,
     /// Sequence number of the first entry of `local`.
     first_local_sequence: u64,
 }
 
 impl RecentRefusals {
-    /// Seconds since the job's first attempt, as far as is known here; 0 if nothing is known.
+    /// Returns the seconds since the job's first known attempt; 0 if the job is not known.
     pub fn waited_s(&self, job: JobHash, now_s: f64) -> f64 {
         let attempts = self.jobs.get(&job);
         attempts.map_or(0.0, |a| (now_s - a.first_at).max(0.0))
     }
 
-    /// A job was refused here, now.
+    /// Records that a job was refused at this controller, now.
     pub fn record_local(
         &mut self,
         job: JobHash,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// A job was refused at another controller.
+    /// Records that a job was refused at another controller.
     pub fn record_from_peer(&mut self, refused: &RefusedJob, now_s: f64) {
         let attempts = Attempts {
             class: refused.class,
@@ -107,6 +108,7 @@
         }
     }
 
+    /// Evicts the job with the oldest last attempt.
     fn forget_longest_silent(&mut self) {
         let jobs = self.jobs.iter();
         let oldest = jobs.min_by(|a, b| a.1.last_at.total_cmp(&b.1.last_at));
@@ -115,18 +117,18 @@
         }
     }
 
-    /// The job was admitted.
+    /// Removes a job that was admitted.
     pub fn remove(&mut self, job: JobHash) {
         self.jobs.remove(&job);
     }
 
-    /// Forgets jobs whose last attempt is longer ago than `limits::REFUSED_JOB_MEMORY_S`.
+    /// Removes jobs whose last attempt is at least `limits::REFUSED_JOB_MEMORY_S` ago.
     pub fn expire(&mut self, now_s: f64) {
         self.jobs
             .retain(|_, a| now_s - a.last_at < limits::REFUSED_JOB_MEMORY_S);
     }
 
-    /// Jobs whose users are likely to try again.
+    /// Returns the jobs that their users are likely to retry.
     pub fn retrying(&self, now_s: f64) -> Vec<RefusedJob> {
         let retrying = self.jobs.iter().filter(|(_, a)| a.is_retrying(now_s));
         retrying
@@ -134,8 +136,8 @@
             .collect()
     }
 
-    /// The refusals made here from a sequence number on, at most
-    /// `limits::REFUSED_JOBS_PER_FRAME_MAX`. Those that are no longer kept are skipped.
+    /// Returns the refusals at this controller from a sequence number on, at most
+    /// `limits::REFUSED_JOBS_PER_FRAME_MAX`. Refusals that are no longer kept are skipped.
     pub fn local_since(&self, sequence: u64, now_s: f64) -> RefusalBatch {
         let skipped = sequence.saturating_sub(self.first_local_sequence) as usize;
         let jobs: Vec<JobHash> = self
--- a/crates/admission/src/statistics.rs
+++ b/crates/admission/src/statistics.rs
@@ -1,10 +1,11 @@
-//! Counts of the jobs of each tenant class that were offered, admitted and done.
+//! Counts of offered, admitted and completed jobs of each tenant class.
 
 use cherrywood_limits::admission as limits;
 use cherrywood_wire::admission::ClassCounts;
 
 /// Job counts of one tenant class. The recent counts decay with time
-/// (`limits::JOB_COUNT_HALF_LIFE_S`); the totals, since this leader began, are for operators.
+/// (`limits::JOB_COUNT_HALF_LIFE_S`); the totals count from this leader's election and are for
+/// operators.
 #[derive(Debug, Clone, Default)]
 pub struct ClassStatistics {
     /// The team's name.
@@ -15,13 +16,13 @@
     pub recent_offered: f64,
     /// Jobs admitted recently; decays.
     pub recent_admitted: f64,
-    /// Jobs done recently; decays.
+    /// Jobs completed recently; decays.
     pub recent_done: f64,
     /// Jobs offered, admitted or not.
     pub total_offered: u64,
     /// Jobs admitted.
     pub total_admitted: u64,
-    /// Jobs done.
+    /// Jobs completed.
     pub total_done: u64,
 }
 
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Continues the recent counts that an earlier leader stored; the totals start at 0.
+    /// Restores the recent counts stored by an earlier leader; the totals start at 0.
     pub(crate) fn restore(counts: ClassCounts) -> Self {
         ClassStatistics {
             team: counts.team,
@@ -71,7 +72,8 @@
         self.total_done += 1;
     }
 
-    /// Nobody waits for a cancelled job: it counts as if it had never been offered.
+    /// Removes a cancelled job from the recent counts: no user waits for it, so it counts as if it
+    /// had never been offered.
     pub(crate) fn record_cancellation(&mut self) {
         self.recent_offered = (self.recent_offered - 1.0).max(0.0);
         self.recent_admitted = (self.recent_admitted - 1.0).max(0.0);
--- a/crates/admission/src/under_served.rs
+++ b/crates/admission/src/under_served.rs
@@ -1,5 +1,5 @@
-//! Service after admission: classes of whose admitted jobs too few are done by the time at which
-//! they should be.
+//! Service after admission: detection of classes with too few admitted jobs done by the time at
+//! which they should be.
 
 use cherrywood_wire::admission::TenantClassId;
 
@@ -8,22 +8,22 @@
 pub struct ClassService {
     /// The class.
     pub class: TenantClassId,
-    /// Jobs done recently; a decayed count.
+    /// Number of jobs done recently; decays.
     pub done: f64,
-    /// Jobs not done that have waited for longer than they should.
+    /// Number of unfinished jobs that have waited longer than they should.
     pub overdue: f64,
 }
 
 impl ClassService {
-    /// The share of the jobs that should be done by now that is done.
+    /// Returns the share of jobs done among those that should be done by now.
     pub fn served_share(&self) -> f64 {
         let due = self.done + self.overdue;
         if due > 0.0 { self.done / due } else { 1.0 }
     }
 }
 
-/// The classes with overdue jobs whose served share is below `threshold`, the smallest share
-/// first.
+/// Returns the classes with overdue jobs whose served share is below `threshold`, the smallest
+/// share first.
 pub fn under_served(mut classes: Vec<ClassService>, threshold: f64) -> Vec<TenantClassId> {
     classes.retain(|c| c.overdue > 0.0 && c.served_share() < threshold);
     classes.sort_by(|a, b| {
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -1,5 +1,4 @@
-//! The jobs admitted in a recent window: they are taken as an estimate of the offers that come
-//! next.
+//! The jobs admitted in a recent window, used as an estimate of the next offers.
 
 use cherrywood_limits::admission as limits;
 use cherrywood_wire::admission::{JobHash, TenantClassId};
@@ -40,7 +39,7 @@
         self.entries.iter()
     }
 
-    /// Seconds that the window covers: those since the leader began, at least
+    /// Returns the seconds that the window covers: those since the leader's election, at least
     /// `limits::OFFERED_WINDOW_MIN_S` and at most `limits::OFFERED_WINDOW_S`.
     pub(crate) fn length_s(&self) -> f64 {
         self.length_s
--- a/crates/admission/tests/allocation.rs
+++ b/crates/admission/tests/allocation.rs
@@ -25,10 +25,10 @@
     Capacity::of_work(available_cpu_s, Shortage::Machines)
 }
 
-/// Shares are made equal, not counts: by shares it is judged who starves. A team within its
-/// guarantee is left out of that.
+/// Served shares are made equal, not counts, because starvation is defined by shares. A team
+/// within its guarantee is exempt.
 #[test]
-fn classes_that_want_the_same_work_get_the_same_share_of_it() {
+fn classes_with_jobs_of_the_same_work_get_the_same_served_share() {
     let mut classes = [
         demand(1, 0, &[10.0; 100], &[0]),
         demand(2, 1, &[10.0; 20], &[0]),
@@ -42,13 +42,13 @@
     assert_eq!(allocate(&classes), [50, 10]);
     classes[1].within_guarantee = true;
     assert_eq!(allocate(&classes), [40, 20]);
-    // What was refused before counts: the one that got less of late catches up.
+    // Earlier refusals count: the class with the smaller recent share catches up.
     (classes[0].offered, classes[0].admitted) = (100.0, 80.0);
     (classes[1].within_guarantee, classes[1].offered) = (false, 20.0);
     assert_eq!(allocate(&classes), [40, 20]);
 }
 
-/// Half of everybody's jobs come before all of one team's.
+/// Half of the jobs of every class take precedence over a team's guarantee.
 #[test]
 fn guarantees_are_filled_after_the_floor_and_before_the_rest() {
     let classes = [
@@ -61,7 +61,7 @@
     assert_eq!(allocate([0.0, 0.0]), [7, 7]);
     assert_eq!(allocate([80.0, 0.0]), [8, 6]);
     assert_eq!(allocate([1e9, 0.0]), [9, 5]);
-    // A team whose work fits into its guarantee as a whole waits for nobody.
+    // All jobs of a team whose entire work fits into its guarantee are admitted first.
     let mut within = classes.clone();
     within[1].within_guarantee = true;
     assert_eq!(
@@ -73,8 +73,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Nothing is given out that isn't there, nothing is left that somebody could use, and
-    /// among classes that want the same no one has much less than another.
+    /// No more than the capacity is allocated, no capacity is left that a class could use, and no
+    /// class has a much smaller share than another class with the same demand.
     #[test]
     fn an_allocation_is_sound_maximal_and_fair_for_any_demands(
         works in prop::collection::vec(prop::collection::vec(1.0f64..50.0, 1..30), 1..8),
@@ -96,7 +96,7 @@
         let work: f64 = classes.iter().zip(&admitted)
             .flat_map(|(class, n)| &class.offers[..*n]).map(|o| o.work_cpu_s).sum();
         prop_assert!((before[0].available - work - left[0].available).abs() < 1e-6);
-        // The last job may take half of what it needs beyond what there is.
+        // The last job may overdraw a capacity by half of its cost.
         prop_assert!(left[0].available > -25.0 && left[1].available >= -0.5);
         for (class, n) in classes.iter().zip(&admitted) {
             if let Some(next) = class.offers.get(*n) {
@@ -104,14 +104,14 @@
                 prop_assert!(!fits, "{next:?} fits");
             }
         }
-        // Whoever is ahead of a class that lacks got its jobs before, when all had as much, or
-        // could use room that was too small for the other.
+        // A class with a larger share than a class with refused jobs got its last job while their
+        // shares were equal, or that job fitted into room that was too small for the other class.
         for (a, x) in classes.iter().zip(&admitted) {
             for (b, y) in classes.iter().zip(&admitted) {
                 let (p, q) = (*x as f64 / a.offers.len() as f64, *y as f64 / b.offers.len() as f64);
                 if *x < a.offers.len() && p + 1e-9 < (*y as f64 - 1.0) / b.offers.len() as f64 {
                     let (last, next) = (b.offers[*y - 1].work_cpu_s, a.offers[*x].work_cpu_s);
-                    prop_assert!(last <= next, "{p} beside {q}");
+                    prop_assert!(last <= next, "shares {p} and {q}");
                 }
             }
         }
--- a/crates/admission/tests/decision.rs
+++ b/crates/admission/tests/decision.rs
@@ -1,4 +1,4 @@
-//! The decision on one job from a table.
+//! The decision on one job according to a table.
 
 use cherrywood_admission::{
     AdmissionRequest, AdmissionTable, Decision, Gate, decide, job_hash, tenant_class_id,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_job_below_the_gate_is_admitted_and_one_of_a_class_without_a_gate_always() {
+fn a_job_below_the_gate_and_any_job_of_a_class_without_a_gate_are_admitted() {
     let table = table(100.0, 0.0);
     assert_eq!(decide(&table, &request(1, 99.0, 0.0)), Decision::Admit);
     assert!(matches!(
@@ -37,13 +37,13 @@
         Decision::Refuse { .. }
     ));
     let other_class = AdmissionRequest {
-        class: tenant_class_id("t", "first seen"),
+        class: tenant_class_id("t", "without a gate"),
         ..request(1, 1e9, 0.0)
     };
     assert_eq!(decide(&table, &other_class), Decision::Admit);
 }
 
-/// A refused job whose turn comes must not lose it to newer ones of its size.
+/// A refused job must not be overtaken by newer jobs of its size.
 #[test]
 fn a_job_that_has_waited_is_admitted_before_new_ones_of_the_same_work() {
     let table = table(100.0, 0.0);
@@ -52,11 +52,11 @@
     assert!(!is_admitted(150.0, 0.0) && !is_admitted(150.0, 20.0) && is_admitted(150.0, 31.0));
     assert!(
         !is_admitted(250.0, 60.0),
-        "nobody counts for less than half"
+        "work is never discounted to less than half"
     );
-    // What it is told is when that will be: not before, and not much later.
+    // The retry is asked for when the job will be admitted: not before, and not much later.
     let Decision::Refuse { retry_after_s } = decide(&table, &request(1, 115.0, 0.0)) else {
-        panic!("it is admitted");
+        panic!("the job was admitted");
     };
     let at = retry_after_s as f64;
     assert!(
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn of_jobs_at_the_gate_a_share_is_admitted_and_the_retries_of_the_others_are_spread() {
+fn of_jobs_at_the_gate_a_share_is_admitted_and_retries_of_the_others_are_spread() {
     let table = table(100.0, 0.3);
     let decisions = (0..2000).map(|job| decide(&table, &request(job, 100.0, 0.0)));
     let mut retries = BTreeMap::new();
--- a/crates/admission/tests/overload/main.rs
+++ b/crates/admission/tests/overload/main.rs
@@ -1,5 +1,5 @@
-//! Who is served, and how much is admitted, while more is wanted than can be done: the
-//! admission controller in a small simulated cluster.
+//! Served shares and admitted work under overload: the admission controller in a small simulated
+//! cluster.
 
 mod simulated_cluster;
 
@@ -12,7 +12,7 @@
 use simulated_cluster::{Counts, FRESH_TABLES, SimulatedCluster, team, workload};
 use std::collections::BTreeMap;
 
-/// The backlog that `cpus` may have waiting at this throughput.
+/// Returns the maximum backlog for `cpus` at this throughput.
 fn full_backlog_cpu_s(cpus: f64, throughput: f64) -> f64 {
     cpus * throughput * limits::DEFAULT_COMPLETION_TARGET_S * limits::BACKLOG_MAX_TARGETS
 }
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_flood_of_one_class_leaves_every_class_more_than_half() {
+fn a_flood_of_one_class_leaves_every_class_a_served_share_above_half() {
     let workloads = [
         workload("a", "flood", 8.0, 200.0),
         workload("b", "calm", 0.5, 200.0),
@@ -44,20 +44,21 @@
     let shares = cluster.admitted_shares();
     assert!(shares.iter().all(|s| *s > 0.5), "{shares:?}");
     assert_eq!(cluster.admission.table().shortage, Shortage::Machines);
-    // What was admitted gets done: no more waits than the classes' targets allow.
+    // The backlog of admitted jobs stays within the classes' completion targets.
     let backlog = cluster.backlog_cpu_s();
     assert!(backlog < full_backlog_cpu_s(1000.0, 0.7) * 1.2, "{backlog}");
-    // Within its guarantee the calm team isn't touched. The fleet here serves in the order
-    // of admission, so what waits of the calm team is much, and must fit too.
+    // No job of the calm team is refused while the team is within its guarantee. This fleet
+    // serves jobs in the order of admission, so the calm team's backlog is large, and must fit
+    // into the guarantee too.
     let mut cluster = SimulatedCluster::new(1000.0, &workloads, &FRESH_TABLES);
     cluster.teams[1].guaranteed_cpus = 800.0;
     cluster.run(900);
     assert_eq!(cluster.admitted_shares()[1], 1.0);
 }
 
-/// Nothing may be refused that would have been done in time.
+/// No job may be refused that would have been done in time.
 #[test]
-fn a_burst_that_passes_in_ten_seconds_is_admitted_whole() {
+fn a_burst_of_ten_seconds_is_admitted_entirely() {
     let workloads = [workload("a", "burst", 1.0, 200.0)];
     let mut cluster = SimulatedCluster::new(1000.0, &workloads, &FRESH_TABLES);
     cluster.run(60);
@@ -93,9 +94,9 @@
     assert!(backlog < full_backlog_cpu_s(667.0, 0.7) * 1.3, "{backlog}");
 }
 
-/// All estimates half of what the work takes, or twice.
+/// All estimates are half of the actual work, or twice as much.
 #[test]
-fn estimates_wrong_in_one_direction_change_the_throughput_and_not_the_backlog() {
+fn estimates_wrong_in_one_direction_change_the_throughput_but_not_the_relative_backlog() {
     for throughput in [0.35, 1.4] {
         let workloads = [workload("a", "x", 12.0, 200.0)];
         let mut cluster = SimulatedCluster::new(1000.0, &workloads, &FRESH_TABLES);
@@ -108,9 +109,9 @@
     }
 }
 
-/// The fleet has room, so nobody but the team at its quota is cut back.
+/// The fleet has room, so only jobs of the team at its quota are refused.
 #[test]
-fn a_team_at_its_quota_is_cut_back_and_one_without_any_is_not() {
+fn jobs_of_a_team_at_its_quota_are_refused_and_those_of_a_team_without_a_quota_are_not() {
     let workloads = [
         workload("small", "x", 4.0, 200.0),
         workload("free", "x", 4.0, 200.0),
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn a_fleet_that_can_grow_refuses_nothing_whatever_waits() {
+fn no_job_is_refused_while_the_fleet_can_grow() {
     let workloads = [workload("a", "x", 30.0, 200.0)];
     let mut cluster = SimulatedCluster::new(100.0, &workloads, &FRESH_TABLES);
     cluster.at_capacity = false;
@@ -131,7 +132,8 @@
     assert_eq!(cluster.refused_attempts, 0);
 }
 
-/// Larger than what its class gets in an hour: it would take the shares of hundreds.
+/// The job's work exceeds that of its class in an hour: it would take the shares of hundreds of
+/// jobs.
 #[test]
 fn a_huge_job_is_refused_during_an_overload_and_admitted_after_it() {
     let workloads = [workload("a", "x", 4.0, 100.0)];
@@ -153,7 +155,7 @@
 }
 
 #[test]
-fn of_a_hundred_teams_with_twenty_classes_each_gets_more_than_half() {
+fn each_of_a_hundred_teams_with_twenty_classes_gets_a_served_share_above_half() {
     let teams: Vec<&'static str> = (0..100).map(|n| &*format!("team-{n}").leak()).collect();
     let classes: Vec<&'static str> = (0..20).map(|n| &*format!("class-{n}").leak()).collect();
     let mut workloads = Vec::new();
@@ -176,11 +178,11 @@
     assert!(refused > 1000 && least > 0.5, "{least}, {refused} refused");
 }
 
-/// Controllers with older tables admit beyond the newest one what is offered to them of work
-/// between the older and the newer gate, and no more: with n controllers of which k are stale,
-/// k / n of the attempts in that band.
+/// Controllers with older tables admit, beyond the newest table, only the jobs offered to them
+/// with work between the older and the newer gate: with n controllers of which k have stale
+/// tables, k / n of the attempts in that band.
 #[test]
-fn jobs_admitted_beyond_the_newest_table_are_as_many_as_the_formula_says() {
+fn stale_tables_admit_only_their_controllers_share_of_attempts_between_the_gates() {
     for controllers in [1, 3, 7] {
         for table_age_s in [0, 10, 30] {
             let mut ages = vec![table_age_s; controllers];
@@ -199,7 +201,7 @@
             println!(
                 "{controllers} controllers, {table_age_s} s: {beyond} beyond, formula {formula:.0}"
             );
-            // Which controller is asked is chance: four standard deviations.
+            // The controller is chosen at random: the tolerance is four standard deviations.
             let tolerance = 4.0 * f64::sqrt(formula * (1.0 - stale_share)) + 1e-9;
             assert!(
                 (f64::from(beyond) - formula).abs() <= tolerance,
@@ -213,7 +215,7 @@
 }
 
 #[test]
-fn a_new_leader_goes_on_from_the_stored_gates_under_its_own_term() {
+fn a_new_leader_continues_from_the_stored_gates_under_its_own_term() {
     let workloads = [workload("a", "x", 12.0, 200.0)];
     let mut cluster = SimulatedCluster::new(1000.0, &workloads, &FRESH_TABLES);
     cluster.run(400);
@@ -223,7 +225,7 @@
     assert!(next.table().version() > stored.table.version());
     let measured = cluster.admission.throughput();
     assert!((next.throughput() - measured).abs() < 1e-9 && next.at_capacity());
-    // Its first table is made from what it knows itself, which is the backlog.
+    // Its first table is computed from its own knowledge, which is the backlog.
     let view = ClusterView {
         at_capacity: next.at_capacity(),
         ..cluster.view()
@@ -242,10 +244,10 @@
     );
 }
 
-/// Guests' best-effort work waited for hours, as it may, and 3.7% of the users of a day that
-/// had room for them were refused for it: it counts for nobody but itself.
+/// Best-effort work may wait for hours. When its backlog counted for other classes, 3.7% of the
+/// users of a day that had room for them were refused, so it counts only for best-effort work.
 #[test]
-fn a_backlog_of_best_effort_work_makes_no_gate_for_other_classes() {
+fn a_backlog_of_best_effort_work_causes_no_gate_for_other_classes() {
     let guests = tenant_class_id("guests", "idle");
     let work = tenant_class_id("a", "work");
     let has_gates = |best_effort: bool| {
@@ -256,7 +258,7 @@
             let now_s = 1.0 + n as f64 / 2.0;
             record_admission(&mut admission, ("a", "work"), 2 + n, 500.0, now_s);
         }
-        // Another of the guests' jobs wants in.
+        // Another job of the guests was refused and is being retried.
         let refused = RefusedJob {
             job: JobHash(99),
             class: guests,
@@ -286,14 +288,18 @@
         };
         (has_gate(work), has_gate(guests))
     };
-    assert_eq!(has_gates(false), (true, true), "what it was");
+    assert_eq!(
+        has_gates(false),
+        (true, true),
+        "without the best-effort backlog marked as such"
+    );
     assert_eq!(has_gates(true), (false, true));
 }
 
-/// Of all jobs that come at once in a day's first second none is refused for the state
-/// service's writes, if a window can take them; of a rate beyond it some are.
+/// A burst in the first second must not be refused for lack of key-value store writes if the
+/// writes of a whole window suffice for it; of a sustained rate above this some jobs are refused.
 #[test]
-fn a_first_burst_within_the_writes_of_a_window_is_admitted_whole() {
+fn a_first_burst_within_the_store_writes_of_a_window_is_admitted_entirely() {
     let mut admission = AdmissionController::new(1, Default::default(), 0.0);
     let view = ClusterView {
         available_cpus: 1000.0,
@@ -313,24 +319,24 @@
         "{:?}",
         admission.table()
     );
-    // A hundred a second go on and on.
+    // A sustained rate of 100 jobs per second exceeds the store's writes.
     for job in 300..3300u64 {
         admit(&mut admission, job, 1.0 + (job - 300) as f64 / 100.0);
     }
     admission.refresh_table(&view, 31.0);
     assert_eq!(admission.table().shortage, Shortage::StoreWrites);
-    // One for the class, and one for its largest tenth.
+    // One gate for the class, and one for its largest tenth.
     assert_eq!(admission.table().gates.len(), 2);
 }
 
-/// Shares of the jobs admitted, and of the largest tenth of them, under a flood that does
-/// not end.
+/// Returns the share of the jobs admitted, and that of the largest tenth of them, under a
+/// sustained flood.
 fn shares_by_size(shedding: SheddingPolicy, jobs_per_s: f64) -> (f64, f64) {
     let workloads = [workload("a", "flood", jobs_per_s, 200.0)];
     let mut cluster = SimulatedCluster::new(1000.0, &workloads, &FRESH_TABLES);
     cluster.shedding = shedding;
     cluster.run(1800);
-    // From here on its gates are shut.
+    // By now the class has a gate.
     let mut jobs: Vec<(f64, bool)> = Vec::new();
     for n in 0..3000 {
         let work_cpu_s = cluster.draw_work_cpu_s(200.0);
@@ -351,7 +357,7 @@
     (share(&jobs), share(&jobs[2700..]))
 }
 
-/// With the largest refused first nobody of the largest tenth was served.
+/// Refusing the largest jobs first would admit no job of the largest tenth.
 #[test]
 fn size_aware_shedding_admits_more_than_half_of_the_largest_tenth_and_largest_first_none() {
     let (all, largest) = shares_by_size(SheddingPolicy::SizeAware, 3.6);
--- a/crates/admission/tests/overload/simulated_cluster.rs
+++ b/crates/admission/tests/overload/simulated_cluster.rs
@@ -1,5 +1,5 @@
 //! A small simulated cluster around the admission controller: several controllers with tables
-//! of different ages, users that try again, and a fleet that does so much work a second.
+//! of different ages, users that retry refused jobs, and a fleet with a fixed throughput.
 
 use cherrywood_admission::{
     AdmissionController, AdmissionRequest, AdmissionTable, AdmittedJob, ClusterView, Decision,
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
 
-/// Controllers with tables of these ages, s; the first one leads.
+/// Age of each controller's table, s; the first controller is the leader.
 pub const FRESH_TABLES: [usize; 5] = [0, 1, 1, 1, 1];
 
 /// The jobs of one class of a team.
@@ -20,7 +20,7 @@
     pub team: &'static str,
     pub class: &'static str,
     pub jobs_per_s: f64,
-    /// Median of a job's work; sizes spread over one and a half orders of magnitude.
+    /// Median work of a job; the work of jobs is spread over one and a half orders of magnitude.
     pub work_cpu_s: f64,
 }
 
@@ -50,7 +50,7 @@
 
 pub struct Job {
     hash: JobHash,
-    /// Index of its workload.
+    /// Index of the job's workload.
     workload: usize,
     work_cpu_s: f64,
     pub left_cpu_s: f64,
@@ -58,7 +58,7 @@
     next_attempt_at: f64,
 }
 
-/// Jobs of a workload.
+/// Job counts of a workload.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     pub offered: u32,
@@ -74,13 +74,13 @@
 /// A fleet, its controllers and its users.
 pub struct SimulatedCluster {
     pub cpus: f64,
-    /// Work that a CPU really does in a second.
+    /// Work that a CPU actually does in a second.
     pub throughput: f64,
     pub at_capacity: bool,
     pub teams: Vec<TeamQuota>,
     pub workloads: Vec<Workload>,
     pub shedding: SheddingPolicy,
-    /// How old each controller's table is, s; the first leads.
+    /// Age of each controller's table, s; the first controller is the leader.
     table_ages_s: Vec<usize>,
     tables: Vec<AdmissionTable>,
     refusals: Vec<RecentRefusals>,
@@ -90,12 +90,11 @@
     retrying: Vec<Job>,
     /// Admitted jobs that are not done.
     pub queue: Vec<Job>,
-    /// By workload.
+    /// Job counts by workload.
     pub counts: Vec<Counts>,
     /// Jobs admitted that the newest table would refuse.
     pub admitted_beyond_newest_table: u32,
-    /// Attempts that the oldest table in use admits and the newest doesn't, at whichever
-    /// controller.
+    /// Attempts, at any controller, that the oldest table in use admits and the newest does not.
     pub attempts_between_tables: u32,
     pub refused_attempts: u32,
     submitted: u32,
@@ -133,7 +132,7 @@
         }
     }
 
-    /// What the leader sees.
+    /// Returns the state of the cluster as seen by the leader.
     pub fn view(&self) -> ClusterView {
         let mut backlog_cpu_s: BTreeMap<TenantClassId, f64> = BTreeMap::new();
         for job in &self.queue {
@@ -156,7 +155,7 @@
         }
     }
 
-    /// Work of all admitted jobs that is not done.
+    /// Returns the unfinished work of all admitted jobs.
     pub fn backlog_cpu_s(&self) -> f64 {
         self.queue.iter().map(|job| job.left_cpu_s).sum()
     }
@@ -165,7 +164,7 @@
         self.counts.iter().map(Counts::admitted_share).collect()
     }
 
-    /// A job's work, spread around the median.
+    /// Draws the work of a job, spread around the median.
     pub fn draw_work_cpu_s(&mut self, median_cpu_s: f64) -> f64 {
         median_cpu_s * f64::exp(self.rng.random_range(-1.7..1.7))
     }
@@ -177,7 +176,7 @@
         self
     }
 
-    /// A second: offers, retries, work, and a table.
+    /// Simulates one second: new submissions, retries, work, and a new table.
     fn second(&mut self) {
         for workload in 0..self.workloads.len() {
             self.submit_new_jobs(workload);
@@ -219,7 +218,7 @@
         }
     }
 
-    /// A user asks any controller to admit the job.
+    /// Submits the job to a random controller.
     fn attempt(&mut self, job: Job) {
         let controller = self.rng.random_range(0..self.table_ages_s.len());
         let w = &self.workloads[job.workload];
@@ -261,7 +260,7 @@
         self.queue.push(job);
     }
 
-    /// All controllers hear of a refusal at once.
+    /// Refuses a job; all controllers learn of the refusal immediately.
     fn refuse(
         &mut self,
         mut job: Job,
--- a/crates/admission/tests/refusals.rs
+++ b/crates/admission/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Refused jobs as controllers remember them and tell each other.
+//! Refused jobs, as controllers remember them and send them to each other.
 
 use cherrywood_admission::{JobHash, RecentRefusals, TenantClassId};
 use cherrywood_limits::admission as limits;
@@ -6,7 +6,7 @@
 const CLASS: TenantClassId = TenantClassId(1);
 
 #[test]
-fn a_refusal_reaches_a_peer_once_and_ages_on_the_way() {
+fn a_refusal_is_sent_to_a_peer_once_with_its_age() {
     let mut here = RecentRefusals::default();
     for n in 0..5 {
         here.record_local(JobHash(n), CLASS, 10.0, 100.0 + n as f64);
@@ -33,7 +33,7 @@
         ),
         (JobHash(2), 10.0, 0.0)
     );
-    // Another controller's clock shows another time; only ages were told.
+    // The other controller's clock differs: only ages were sent.
     let mut there = RecentRefusals::default();
     for refused in first.refused.iter().chain(&second.refused) {
         there.record_from_peer(refused, 5000.0);
@@ -42,11 +42,11 @@
     there.remove(JobHash(2));
     assert_eq!(there.waited_s(JobHash(2), 5001.0), 0.0);
     assert_eq!(there.retrying(5001.0).len(), 4);
-    assert_eq!(there.retrying(5040.0).len(), 0, "they have given up");
+    assert_eq!(there.retrying(5040.0).len(), 0, "the users have given up");
 }
 
 #[test]
-fn refusals_stay_bounded_however_many_jobs_are_refused() {
+fn the_number_of_remembered_and_sent_refusals_is_bounded() {
     let mut refusals = RecentRefusals::default();
     for n in 0..2 * limits::REFUSED_JOBS_REMEMBERED_MAX as u64 {
         refusals.record_local(JobHash(n), CLASS, 1.0, n as f64 * 0.001);
@@ -57,7 +57,7 @@
     );
     let batch = refusals.local_since(0, 20.0);
     assert!(batch.refused.len() <= limits::REFUSED_JOBS_PER_FRAME_MAX);
-    // What was pushed out before it was told is skipped, not waited for.
+    // Refusals that were evicted before they were sent are skipped.
     let oldest_kept =
         2 * limits::REFUSED_JOBS_REMEMBERED_MAX as u64 - limits::REFUSED_JOBS_TO_SEND_MAX as u64;
     assert!(batch.next_sequence > oldest_kept);
--- a/crates/admission/tests/under_served.rs
+++ b/crates/admission/tests/under_served.rs
@@ -1,11 +1,11 @@
-//! Which classes are served by less than they should be.
+//! Detection of under-served classes.
 
 use cherrywood_admission::TenantClassId;
 use cherrywood_admission::under_served::{ClassService, under_served};
 use cherrywood_limits::admission as limits;
 
 #[test]
-fn classes_below_half_of_what_is_due_are_under_served_the_least_served_first() {
+fn classes_with_less_than_half_of_due_jobs_done_are_listed_least_served_first() {
     let service = |class, done, overdue| ClassService {
         class: TenantClassId(class),
         done,
