--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -10,7 +10,7 @@
 use std::hint::black_box;
 
 const TEAMS: usize = 100;
-const CLASSES: usize = 20;
+const CLASSES_PER_TEAM: usize = 20;
 /// Jobs admitted in a window of 30 s.
 const ADMITTED: u64 = 1200;
 /// Refused jobs that are being retried.
@@ -27,7 +27,7 @@
     let work = |n: u64| 50.0 + (n * 37 % 1000) as f64;
     let mut admission = AdmissionController::new(1, Default::default(), 0.0);
     for n in 0..ADMITTED {
-        let (team, class) = name(n as usize * 7 % (TEAMS * CLASSES));
+        let (team, class) = name(n as usize * 7 % (TEAMS * CLASSES_PER_TEAM));
         let at = 30.0 * n as f64 / ADMITTED as f64;
         let admitted = AdmittedJob {
             team: &team,
@@ -38,7 +38,7 @@
         admission.record_admission(&admitted, at);
     }
     let refused = |n: u64| {
-        let (team, class) = name(n as usize * 11 % (TEAMS * CLASSES));
+        let (team, class) = name(n as usize * 11 % (TEAMS * CLASSES_PER_TEAM));
         RefusedJob {
             job: JobHash(ADMITTED + n),
             class: tenant_class_id(&team, &class),
@@ -53,7 +53,7 @@
         max_cpus: 400.0,
         weight: 1.0,
     });
-    let backlog = (0..TEAMS * CLASSES).map(|n| {
+    let backlog = (0..TEAMS * CLASSES_PER_TEAM).map(|n| {
         let (team, class) = name(n);
         (tenant_class_id(&team, &class), 2000.0)
     });
--- a/crates/admission/src/cluster_view.rs
+++ b/crates/admission/src/cluster_view.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Lower bound of the guaranteed CPUs as a divisor, to avoid division by zero.
-const MIN_PROMISED_CPUS: f64 = 1e-9;
+const MIN_GUARANTEED_CPUS: f64 = 1e-9;
 
 /// A team's configured share of the fleet.
 #[derive(Debug, Clone)]
@@ -75,7 +75,7 @@
     pub(crate) fn deliverable_guarantee_share(&self) -> f64 {
         let guaranteed: f64 = self.teams.iter().map(|t| t.guaranteed_cpus).sum();
         if self.at_capacity {
-            (self.available_cpus / guaranteed.max(MIN_PROMISED_CPUS)).min(1.0)
+            (self.available_cpus / guaranteed.max(MIN_GUARANTEED_CPUS)).min(1.0)
         } else {
             1.0
         }
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -17,7 +17,7 @@
 
 /// Multiple of `limits::USER_GIVE_UP_AFTER_S` for which a job is remembered as offered: a later
 /// retry counts as another offer.
-const OFFER_MEMORY: f64 = 2.0;
+const OFFER_MEMORY_FACTOR: f64 = 2.0;
 
 /// A job that was admitted at some controller.
 #[derive(Debug, Clone, Copy)]
@@ -180,7 +180,7 @@
         self.throughput.decay(elapsed_s);
         self.window.advance(now_s);
         self.offered_at
-            .retain(|_, at| now_s - *at < limits::USER_GIVE_UP_AFTER_S * OFFER_MEMORY);
+            .retain(|_, at| now_s - *at < limits::USER_GIVE_UP_AFTER_S * OFFER_MEMORY_FACTOR);
     }
 
     /// Recomputes the table; returns true if it changed by more than the tolerance.
@@ -229,7 +229,7 @@
             }
         }
         if view.at_capacity && self.load >= limits::GATES_OPEN_LOAD {
-            gates.extend(self.gates_of_silent_classes(&classes));
+            gates.extend(self.gates_of_inactive_classes(&classes));
             if shortage == Shortage::Nothing {
                 shortage = self.table.shortage;
             }
@@ -250,7 +250,7 @@
     /// Returns the present gates of classes of which no job was offered recently. They are kept
     /// while there is no room: a new leader, which has seen no offers yet, would otherwise open
     /// the gates of all classes.
-    fn gates_of_silent_classes(&self, classes: &[ClassDemand]) -> impl Iterator<Item = Gate> {
+    fn gates_of_inactive_classes(&self, classes: &[ClassDemand]) -> impl Iterator<Item = Gate> {
         let is_active = move |gate: &Gate| {
             let own = |c: &ClassDemand| {
                 c.class == gate.class || largest_jobs_gate_id(c.class) == gate.class
--- a/crates/admission/src/gates.rs
+++ b/crates/admission/src/gates.rs
@@ -21,14 +21,14 @@
         SheddingPolicy::LargestFirst => vec![gate_after(demand, admitted)],
         SheddingPolicy::Random => {
             let share = (admitted as f32) / demand.offers.len() as f32;
-            vec![share_of_all(demand, share)]
+            vec![unbounded_gate(demand, share)]
         }
-        SheddingPolicy::NewestFirst => vec![share_of_all(demand, 0.0)],
+        SheddingPolicy::NewestFirst => vec![unbounded_gate(demand, 0.0)],
     }
 }
 
 /// Returns a gate that admits a share of all jobs, whatever their work.
-fn share_of_all(demand: &ClassDemand, share: f32) -> Gate {
+fn unbounded_gate(demand: &ClassDemand, share: f32) -> Gate {
     Gate {
         class: demand.class,
         max_work_cpu_s: f64::INFINITY,
--- a/crates/admission/src/refusals.rs
+++ b/crates/admission/src/refusals.rs
@@ -104,12 +104,12 @@
             known.work_cpu_s = attempts.work_cpu_s;
         }
         if self.jobs.len() > limits::REFUSED_JOBS_REMEMBERED_MAX {
-            self.forget_longest_silent();
+            self.evict_oldest();
         }
     }
 
     /// Evicts the job with the oldest last attempt.
-    fn forget_longest_silent(&mut self) {
+    fn evict_oldest(&mut self) {
         let jobs = self.jobs.iter();
         let oldest = jobs.min_by(|a, b| a.1.last_at.total_cmp(&b.1.last_at));
         if let Some(job) = oldest.map(|(job, _)| *job) {
--- a/crates/admission/tests/overload/simulated_cluster.rs
+++ b/crates/admission/tests/overload/simulated_cluster.rs
@@ -171,13 +171,13 @@
 
     pub fn run(&mut self, seconds: u32) -> &mut Self {
         for _ in 0..seconds {
-            self.second();
+            self.step();
         }
         self
     }
 
     /// Simulates one second: new submissions, retries, work, and a new table.
-    fn second(&mut self) {
+    fn step(&mut self) {
         for workload in 0..self.workloads.len() {
             self.submit_new_jobs(workload);
         }
