--- a/crates/dependencies/src/graph.rs
+++ b/crates/dependencies/src/graph.rs
@@ -1,25 +1,25 @@
-//! The graph of jobs and the jobs that they depend on.
+//! The graph of dependencies between jobs.
 
 use crate::requirements::{EffectiveRequirements, JobRequirements};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How a job ended.
+/// Outcome of a job that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEnd {
-    /// All of its tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// May a live job run?
+/// Whether a live job may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// All of its dependencies are done.
+    /// All dependencies of the job are done.
     Ready,
-    /// Not all of its dependencies are known to be done.
+    /// Not all dependencies of the job are known to be done.
     Waiting,
-    /// A job that it depends on, directly or not, is cancelled: it can never run.
+    /// A direct or indirect dependency of the job is cancelled: the job can never run.
     Unsatisfiable,
 }
 
@@ -28,14 +28,14 @@
 pub struct ReadyJob {
     /// The job's id.
     pub id: String,
-    /// When its last dependency was done, s; None if that is not known.
+    /// Time when the last dependency was done, s; None if it is not known.
     pub since_s: Option<f64>,
 }
 
-/// What the end of a job means for others.
+/// Effects of the end of a job on other jobs.
 #[derive(Debug, Default, PartialEq)]
 pub struct Effects {
-    /// Live jobs that are ready now.
+    /// Live jobs that became ready.
     pub ready: Vec<ReadyJob>,
     /// Ids of live jobs that can never run and must be cancelled, nearest dependents first.
     pub unsatisfiable: Vec<String>,
@@ -44,14 +44,15 @@
 /// A job that is live, or that a live job depends on.
 #[derive(Debug)]
 struct Node<P> {
-    /// What the owner asks for; None if the job is not live: only named by others, or over.
+    /// Requirements of the owner; None if the job is not live: it is only named by other jobs, or
+    /// has ended.
     requirements: Option<JobRequirements<P>>,
     end: Option<JobEnd>,
-    /// When it ended, s, if that is known.
+    /// Time when the job ended, s, if it is known.
     ended_at: Option<f64>,
     dependencies: Vec<String>,
     dependents: BTreeSet<String>,
-    /// How many dependencies are not known to be done.
+    /// Number of dependencies that are not known to be done.
     open_dependencies: usize,
     unsatisfiable: bool,
 }
@@ -80,17 +81,17 @@
     }
 }
 
-/// Who depends on whom, among live jobs and the jobs that they name.
+/// Dependency graph of the live jobs and the jobs that they depend on.
 ///
-/// A job that is neither live nor a dependency of another is forgotten, so the graph holds no
+/// A job that is neither live nor a dependency of another job is removed, so the graph holds no
 /// history.
 #[derive(Debug)]
 pub struct DependencyGraph<P> {
     nodes: BTreeMap<String, Node<P>>,
-    /// Jobs that others depend on, neither live nor known to be over.
+    /// Jobs that other jobs depend on and that are neither live nor known to have ended.
     unresolved: BTreeSet<String>,
-    /// Live jobs with dependencies, dependents or a deadline: all others have the effective
-    /// requirements that their owners ask for.
+    /// Live jobs with dependencies, dependents or a deadline. The effective requirements of all
+    /// other jobs are those of their owners.
     connected: BTreeSet<String>,
     changed: bool,
 }
@@ -107,10 +108,9 @@
 }
 
 impl<P: Copy + Ord> DependencyGraph<P> {
-    /// Adds a live job. The jobs that it depends on may be live, over, or not known to the graph
-    /// yet.
+    /// Adds a live job. Its dependencies may be live, ended, or not known to the graph yet.
     ///
-    /// For a job that is known already only the requirements are replaced.
+    /// If the job is already known, only its requirements are replaced.
     pub fn insert(
         &mut self,
         id: &str,
@@ -133,7 +133,7 @@
         self.readiness(id)
     }
 
-    /// Joins a new job with the jobs that it depends on.
+    /// Links a new job to its dependencies.
     fn link(&mut self, id: &str, dependencies: &[String]) {
         let others = dependencies.iter().filter(|other| *other != id);
         let mut dependencies: Vec<String> = others.cloned().collect();
@@ -161,7 +161,7 @@
         }
     }
 
-    /// May the job run? A job that the graph does not hold depends on nothing.
+    /// Returns whether the job may run. A job that is not in the graph has no dependencies.
     pub fn readiness(&self, id: &str) -> Readiness {
         match self.nodes.get(id) {
             Some(node) if node.unsatisfiable => Readiness::Unsatisfiable,
@@ -170,8 +170,8 @@
         }
     }
 
-    /// When the last dependency of a job was done, s; None if it has none, or if the end of
-    /// one is not known.
+    /// Returns the time when the last dependency of a job was done, s; None if the job has no
+    /// dependencies, or if the time at which one of them ended is not known.
     pub fn ready_since(&self, id: &str) -> Option<f64> {
         let dependencies = &self.nodes.get(id)?.dependencies;
         let ends = dependencies.iter().map(|d| self.nodes.get(d)?.ended_at);
@@ -179,8 +179,8 @@
         ends.into_iter().reduce(f64::max)
     }
 
-    /// Records that a job is no longer live while it is not known how it ended. If others depend
-    /// on it, it is unresolved from now on.
+    /// Records that a job is no longer live although it is not known how it ended. If other jobs
+    /// depend on it, it is unresolved from now on.
     pub fn mark_not_live(&mut self, id: &str) {
         let Some(node) = self.nodes.get_mut(id) else {
             return;
@@ -231,7 +231,7 @@
         effects
     }
 
-    /// One more dependency of the job is done; returns the job if it was the last.
+    /// Records that one more dependency of the job is done; returns the job if it was the last one.
     fn close_dependency(&mut self, id: String) -> Option<ReadyJob> {
         let node = self.nodes.get_mut(&id)?;
         node.open_dependencies -= 1;
@@ -241,8 +241,8 @@
         })
     }
 
-    /// Marks a job that can never run, and with it all that depend on it; returns the live ones
-    /// that were not marked before, nearest dependents first.
+    /// Marks a job that can never run, and all jobs that depend on it; returns the live jobs that
+    /// were not marked before, nearest dependents first.
     fn mark_unsatisfiable(&mut self, id: &str) -> Vec<String> {
         let mut newly_unsatisfiable = Vec::new();
         let mut pending = VecDeque::from([id.to_string()]);
@@ -263,8 +263,8 @@
         newly_unsatisfiable
     }
 
-    /// Removes the links from an ended job to its dependencies; the job itself is kept while
-    /// others depend on it.
+    /// Removes the links from an ended job to its dependencies; the job itself is kept while other
+    /// jobs depend on it.
     fn unlink_ended(&mut self, id: &str) {
         let Some(node) = self.nodes.get(id) else {
             return;
@@ -277,8 +277,8 @@
         }
     }
 
-    /// Removes `dependent` from the dependents of `dependency`, which is forgotten if none is
-    /// left and it is not live.
+    /// Removes `dependent` from the dependents of `dependency`, which is removed from the graph if
+    /// it has no dependents left and is not live.
     fn unlink(&mut self, dependency: &str, dependent: &str) {
         let Some(node) = self.nodes.get_mut(dependency) else {
             return;
@@ -289,6 +289,7 @@
         }
     }
 
+    /// Removes a job from the graph, and its links to its dependencies.
     fn forget(&mut self, id: &str) {
         self.unresolved.remove(id);
         self.connected.remove(id);
@@ -300,27 +301,27 @@
         }
     }
 
-    /// Ids of jobs that others depend on, neither live nor known to be over: the caller must
-    /// find out how they ended.
+    /// Returns the ids of jobs that other jobs depend on and that are neither live nor known to
+    /// have ended: the caller must find out how they ended.
     pub fn unresolved(&self) -> impl Iterator<Item = &String> {
         self.unresolved.iter()
     }
 
-    /// Has something changed since this was last asked?
+    /// Returns whether the graph has changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// What each live job must meet for itself and for its dependents, given the expected run
-    /// time `run_s` of each: the highest priority, and the earliest of its own deadline and
-    /// the dependents' latest starts, less its own run time. Jobs that have neither dependencies
-    /// nor dependents nor a deadline are left out.
+    /// Returns the requirements that each live job must meet for itself and for its dependents,
+    /// given the expected run time `run_s` of each job: the highest priority, and the earliest of
+    /// its own deadline and the dependents' latest starts, less its own run time. Jobs that have
+    /// neither dependencies nor dependents nor a deadline are omitted.
     pub fn effective_requirements(
         &self,
         run_s: impl Fn(&str) -> f64,
     ) -> BTreeMap<&str, EffectiveRequirements<P>> {
         let mut effective: BTreeMap<&str, EffectiveRequirements<P>> = BTreeMap::new();
-        // In reverse topological order: a job comes after all of its live dependents.
+        // In reverse topological order: a job is visited after all of its live dependents.
         let mut open_dependents = self.live_dependents();
         let without_dependents = open_dependents.iter().filter(|(_, open)| **open == 0);
         let mut next: Vec<&str> = without_dependents.map(|(id, _)| *id).collect();
@@ -349,7 +350,7 @@
         Some((node, node.requirements.as_ref()?))
     }
 
-    /// How many live dependents each live connected job has.
+    /// Returns the number of live dependents of each live connected job.
     fn live_dependents(&self) -> BTreeMap<&str, usize> {
         let connected = self.connected.iter();
         let live = connected.filter_map(|id| Some((id.as_str(), self.live(id)?.0)));
@@ -360,12 +361,12 @@
         live.map(|(id, node)| (id, count(node))).collect()
     }
 
-    /// Jobs that the graph holds.
+    /// Returns the number of jobs in the graph.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Does the graph hold no job?
+    /// Returns whether the graph holds no jobs.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -1,10 +1,10 @@
 //! DAG dependencies between jobs: which jobs are ready, which can never run because a job that
-//! they depend on was cancelled, and the priority and latest start that a job has from the jobs
-//! that depend on it.
+//! they depend on was cancelled, and the priority and latest start that a job inherits from the
+//! jobs that depend on it.
 //!
-//! Pure: no I/O and no clock. The caller reports live jobs and committed ends to
+//! The crate does no I/O and reads no clock. The caller reports live jobs and committed ends to
 //! [`DependencyGraph`], in any order and any number of times; the graph never infers an end that
-//! was not reported to it. docs/pipelines.md has the reasons.
+//! was not reported to it. docs/pipelines.md gives the reasons.
 
 #![deny(missing_docs)]
 
--- a/crates/dependencies/src/requirements.rs
+++ b/crates/dependencies/src/requirements.rs
@@ -1,16 +1,16 @@
-//! What a job's owner asks for, and what a job inherits from the jobs that depend on it.
+//! Requirements of a job's owner, and those that a job inherits from the jobs that depend on it.
 
-/// A moment by which something should have happened.
+/// A time by which an event should have happened.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Deadline {
-    /// The moment, s on the caller's clock.
+    /// Time of the deadline, s on the caller's clock.
     pub at_s: f64,
     /// Seconds after the deadline for which completion still has some value.
     pub grace_s: f64,
 }
 
 impl Deadline {
-    /// The deadline of what must have happened `lead_s` before.
+    /// Returns the deadline of an event that must happen `lead_s` earlier.
     pub(crate) fn earlier_by(self, lead_s: f64) -> Deadline {
         Deadline {
             at_s: self.at_s - lead_s,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The earlier of two deadlines, the first one if they are equal.
+    /// Returns the earlier of two deadlines, the first one if they are equal.
     pub(crate) fn earliest(a: Option<Deadline>, b: Option<Deadline>) -> Option<Deadline> {
         match (a, b) {
             (Some(a), Some(b)) if b.at_s < a.at_s => Some(b),
@@ -28,27 +28,27 @@
     }
 }
 
-/// What the owner of a job asks for.
+/// Requirements stated by the owner of a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobRequirements<P> {
     /// Priority; smaller values are served first.
     pub priority: P,
-    /// When the job should be done.
+    /// Deadline for the completion of the job.
     pub deadline: Option<Deadline>,
 }
 
-/// What a job must meet for itself and for all jobs that depend on it.
+/// Requirements that a job must meet for itself and for all jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EffectiveRequirements<P> {
-    /// The smallest of its own priority and those of its dependents.
+    /// The smallest value among the job's own priority and those of its dependents.
     pub priority: P,
-    /// When its tasks must have started.
+    /// Deadline for the start of the job's tasks.
     pub latest_start: Option<Deadline>,
 }
 
 impl<P: Copy + Ord> EffectiveRequirements<P> {
-    /// The effective requirements of a job that takes `run_s` and has these dependents: it must
-    /// be done by its own deadline, and before the first of its dependents must start.
+    /// Returns the effective requirements of a job with run time `run_s` and these dependents: the
+    /// job must be done by its own deadline, and before the first of its dependents must start.
     pub(crate) fn derive<'a>(
         own: &JobRequirements<P>,
         dependents: impl Iterator<Item = &'a EffectiveRequirements<P>>,
--- a/crates/dependencies/tests/graph.rs
+++ b/crates/dependencies/tests/graph.rs
@@ -1,4 +1,4 @@
-//! Wide and shared dependencies, and the deadlines that they pass on.
+//! Jobs with many dependencies or dependents, and the propagation of deadlines.
 
 use cherrywood_dependencies::{Deadline, DependencyGraph, JobEnd, JobRequirements, Readiness};
 
@@ -38,9 +38,9 @@
     assert!(graph.is_empty(), "{graph:?}");
 }
 
-/// One job that a thousand depend on, in two pipelines, and a job behind two of those.
+/// A thousand jobs depend on one job, and another job depends on two of the thousand.
 #[test]
-fn a_cancelled_job_makes_a_thousand_dependents_and_what_follows_them_unsatisfiable() {
+fn a_cancelled_job_makes_its_direct_and_indirect_dependents_unsatisfiable() {
     let mut graph = DependencyGraph::default();
     let stages = thousand_jobs();
     graph.insert("shared", &[], requirements(3));
@@ -64,8 +64,8 @@
     assert!(graph.is_empty());
 }
 
-/// A diamond: the deadline of the last job reaches the first one by the longer path, also if
-/// the last is submitted late.
+/// In a diamond, the deadline of the last job reaches the first job by the longer path, even if
+/// the last job is submitted late.
 #[test]
 fn the_latest_start_of_a_job_follows_the_longest_path_to_a_deadline() {
     let mut graph = DependencyGraph::default();
--- a/crates/dependencies/tests/reference_model.rs
+++ b/crates/dependencies/tests/reference_model.rs
@@ -1,4 +1,4 @@
-//! The graph against a naive model that keeps the whole history.
+//! Comparison of the graph with a naive model that keeps the entire history.
 
 use cherrywood_dependencies::{DependencyGraph, JobEnd, JobRequirements, Readiness};
 use proptest::prelude::*;
@@ -28,7 +28,7 @@
     end: Option<JobEnd>,
 }
 
-/// Every job ever accepted, with what it depends on and how it ended.
+/// All jobs ever submitted, with their dependencies and ends.
 #[derive(Default)]
 struct Model {
     jobs: BTreeMap<usize, ModelJob>,
@@ -87,13 +87,13 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A job that depends on these, by their place among all before it.
+    /// Submits a job with these dependencies, given by index among all jobs before it.
     Submit(Vec<prop::sample::Index>),
     Done(prop::sample::Index),
     Cancel(prop::sample::Index),
-    /// The job is no longer live before it is known how it ended.
+    /// Ends a job that the graph learns of as no longer live before it learns how the job ended.
     NotLive(prop::sample::Index, JobEnd),
-    /// Another leader begins anew, from what is committed.
+    /// A new leader rebuilds the graph from the committed live jobs.
     Failover,
 }
 
@@ -153,7 +153,7 @@
     }
 }
 
-/// Answers what the graph asks from what is committed.
+/// Reports the ends of the graph's unresolved jobs from the model.
 fn resolve(model: &Model, graph: &mut DependencyGraph<u8>) {
     for id in graph.unresolved().cloned().collect::<Vec<_>>() {
         let job: usize = id[1..].parse().unwrap();
@@ -166,7 +166,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
     #[test]
-    fn readiness_and_priority_agree_with_the_whole_history_after_any_steps(steps in steps()) {
+    fn readiness_and_priority_agree_with_the_full_history_after_any_steps(steps in steps()) {
         let mut model = Model::default();
         let mut graph = DependencyGraph::default();
         for step in steps {
