--- a/crates/dependencies/src/graph.rs
+++ b/crates/dependencies/src/graph.rs
@@ -188,7 +188,7 @@
         if node.end.is_none() {
             node.requirements = None;
             if node.dependents.is_empty() {
-                self.forget(id);
+                self.remove(id);
             } else {
                 self.unresolved.insert(id.to_string());
             }
@@ -273,7 +273,7 @@
             self.unlink(&dependency, id);
         }
         if self.nodes.get(id).is_some_and(|n| n.dependents.is_empty()) {
-            self.forget(id);
+            self.remove(id);
         }
     }
 
@@ -285,12 +285,12 @@
         };
         node.dependents.remove(dependent);
         if node.dependents.is_empty() && !node.is_live() {
-            self.forget(dependency);
+            self.remove(dependency);
         }
     }
 
     /// Removes a job from the graph, and its links to its dependencies.
-    fn forget(&mut self, id: &str) {
+    fn remove(&mut self, id: &str) {
         self.unresolved.remove(id);
         self.connected.remove(id);
         let Some(node) = self.nodes.remove(id) else {
