--- a/crates/limits/src/connections.rs
+++ b/crates/limits/src/connections.rs
@@ -15,8 +15,8 @@
 /// The shard of 4,000 machines takes some 70 KiB of it.
 pub const PEER_FRAME_BYTES_MAX: usize = 256 * 1024;
 
-/// Bytes of heartbeat responses in a frame after which no further heartbeat is responded to; one
-/// response has at most [`BODY_BYTES_MAX`].
+/// Bytes of heartbeat responses in a frame after which no further response is added; one response
+/// has at most [`BODY_BYTES_MAX`].
 pub const PEER_FRAME_ANSWERS_BYTES_MAX: usize = PEER_FRAME_BYTES_MAX - BODY_BYTES_MAX;
 
 /// Maximum seconds for a whole request to arrive.
--- a/crates/limits/src/leases.rs
+++ b/crates/limits/src/leases.rs
@@ -4,7 +4,7 @@
 /// key-value store for at most this long.
 pub const LEADER_LEASE_S: f64 = 4.0;
 
-/// Shortest leader lease in seconds, used if `cancel_s` leaves no time for a longer one.
+/// Shortest duration in seconds of the leader's lease, to which a short `cancel_s` may reduce it.
 pub const LEADER_LEASE_MIN_S: f64 = 1.5;
 
 /// Longest shard lease in seconds.
--- a/crates/limits/src/retries.rs
+++ b/crates/limits/src/retries.rs
@@ -4,10 +4,10 @@
 /// its state.
 pub const RECOVERY_READ_ATTEMPTS_MAX: u32 = 20;
 
-/// Seconds before the second attempt of such a read.
+/// Seconds before the second attempt of a recovery read.
 pub const RECOVERY_READ_DELAY_FIRST_S: f64 = 0.1;
 
-/// Maximum delay in seconds between two attempts of such a read.
+/// Maximum delay in seconds between two attempts of a recovery read.
 pub const RECOVERY_READ_DELAY_MAX_S: f64 = 0.2;
 
 /// Maximum number of attempts of a leader's write before it is left to the next round.
