--- a/crates/control/src/leader/autoscaler/scale_in.rs
+++ b/crates/control/src/leader/autoscaler/scale_in.rs
@@ -116,9 +116,9 @@
     ) {
         for candidate in removable {
             let spare_share = if candidate.spot {
-                limits::RETIRE_SPOT_SPARE_SHARE
+                limits::DRAIN_SPOT_SPARE_SHARE
             } else {
-                limits::RETIRE_ON_DEMAND_SPARE_SHARE
+                limits::DRAIN_ON_DEMAND_SPARE_SHARE
             };
             let wanted_cpus = wanted.of(candidate);
             if active_cpus - candidate.cpus < wanted_cpus * (1.0 + spare_share) {
--- a/crates/control/src/leader/ledger.rs
+++ b/crates/control/src/leader/ledger.rs
@@ -164,8 +164,8 @@
         // What compaction writes again is no reason for a transaction by itself.
         let has_new_placements = draft.rows() > 0;
         let dropped_entries = self.compact_oldest_entries(&mut draft, ops);
-        let worthwhile = dropped_entries.len() >= limits::LOG_DROPS_WORTH_A_WRITE
-            || freed.len() >= limits::LOG_FREED_WORTH_A_WRITE;
+        let worthwhile = dropped_entries.len() >= limits::LOG_DROPS_WRITE_THRESHOLD
+            || freed.len() >= limits::LOG_FREED_WRITE_THRESHOLD;
         if !has_new_placements && !worthwhile {
             return None;
         }
--- a/crates/limits/src/autoscaler.rs
+++ b/crates/limits/src/autoscaler.rs
@@ -70,7 +70,7 @@
 
 /// Share of the demanded CPUs that must stay free for arriving tasks when an on-demand machine
 /// is drained.
-pub const RETIRE_ON_DEMAND_SPARE_SHARE: f64 = 0.06;
+pub const DRAIN_ON_DEMAND_SPARE_SHARE: f64 = 0.06;
 
-/// Like [`RETIRE_ON_DEMAND_SPARE_SHARE`], when a spot machine is drained.
-pub const RETIRE_SPOT_SPARE_SHARE: f64 = 0.2;
+/// Like [`DRAIN_ON_DEMAND_SPARE_SHARE`], when a spot machine is drained.
+pub const DRAIN_SPOT_SPARE_SHARE: f64 = 0.2;
--- a/crates/limits/src/connections.rs
+++ b/crates/limits/src/connections.rs
@@ -17,7 +17,7 @@
 
 /// Bytes of heartbeat responses in a frame after which no further response is added; one response
 /// has at most [`BODY_BYTES_MAX`].
-pub const PEER_FRAME_ANSWERS_BYTES_MAX: usize = PEER_FRAME_BYTES_MAX - BODY_BYTES_MAX;
+pub const PEER_FRAME_RESPONSES_BYTES_MAX: usize = PEER_FRAME_BYTES_MAX - BODY_BYTES_MAX;
 
 /// Maximum seconds for a whole request to arrive.
 pub const REQUEST_TIMEOUT_S: f64 = 10.0;
@@ -39,21 +39,22 @@
 pub const SERVED_SOCKETS_SHARE: f64 = 0.8;
 
 /// Minimum number of served connections, however few sockets the platform provides.
-pub const MIN_SERVED_CONNECTIONS: usize = 16;
+pub const SERVED_CONNECTIONS_MIN: usize = 16;
 
 /// Open connections, as a share of those that may be served, up to which a user's connection is
-/// kept open after a response. The connections reserved by [`ACTIVE_USERS_SHARE`] count as open.
-pub const KEEP_USERS_SHARE: f64 = 0.65;
+/// kept open after a response. The connections reserved by [`ACTIVE_USER_CONNECTIONS_SHARE`] count
+/// as open.
+pub const KEEP_USER_CONNECTIONS_SHARE: f64 = 0.65;
 
 /// Open connections, as a share of those that may be served, up to which a worker's connection
-/// is kept open after a response: the quarter above [`KEEP_USERS_SHARE`] is reserved for
+/// is kept open after a response: the quarter above [`KEEP_USER_CONNECTIONS_SHARE`] is reserved for
 /// workers, and the rest is left for new connections and heartbeats, so that idle connections
 /// are seldom evicted.
-pub const KEEP_WORKERS_SHARE: f64 = 0.9;
+pub const KEEP_WORKER_CONNECTIONS_SHARE: f64 = 0.9;
 
 /// Share of the served connections on which users' requests may be handled at a time: if all
 /// their responses are slow, the rest is left to heartbeats.
-pub const ACTIVE_USERS_SHARE: f64 = 0.5;
+pub const ACTIVE_USER_CONNECTIONS_SHARE: f64 = 0.5;
 
 /// Seconds for which an unused client connection is kept open.
 pub const KEEP_ALIVE_S: f64 = 15.0;
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -39,10 +39,10 @@
 pub const GUARD_BYTES: usize = 60;
 
 /// Number of entries to delete that triggers a write without other changes.
-pub const LOG_DROPS_WORTH_A_WRITE: usize = 4;
+pub const LOG_DROPS_WRITE_THRESHOLD: usize = 4;
 
 /// Number of freed placements that triggers a write without other changes.
-pub const LOG_FREED_WORTH_A_WRITE: usize = 200;
+pub const LOG_FREED_WRITE_THRESHOLD: usize = 200;
 
 /// Bytes of an entry in addition to its lists, including the growth of a row.
 pub const LOG_ENTRY_OVERHEAD_BYTES: usize = 96;
@@ -92,4 +92,4 @@
 
 /// Seconds between two reads of the key-value store, each for all status queries that arrived
 /// meanwhile; users wait 2 s for a response.
-pub const POLL_BATCH_INTERVAL_S: f64 = 0.1;
+pub const STATUS_QUERY_BATCH_INTERVAL_S: f64 = 0.1;
--- a/crates/limits/src/retries.rs
+++ b/crates/limits/src/retries.rs
@@ -25,20 +25,21 @@
 
 /// Number of retries that each response adds to the budget: if a fifth of all requests fail,
 /// nearly all failed requests are retried.
-pub const RETRY_BUDGET_PER_ANSWER: f64 = 0.5;
+pub const RETRY_BUDGET_PER_RESPONSE: f64 = 0.5;
 
 /// Maximum number of attempts to cancel a job whose record changes meanwhile.
 pub const CANCEL_ATTEMPTS_MAX: u32 = 3;
 
 /// Maximum number of requests for one comparison that serves a batch of status queries: as many
-/// as are sent every [`POLL_REQUEST_INTERVAL_S`] within [`POLL_BATCH_TIMEOUT_S`].
-pub const POLL_REQUESTS_MAX: usize = 8;
+/// as are sent every [`STATUS_QUERY_REQUEST_INTERVAL_S`] within [`STATUS_QUERY_BATCH_TIMEOUT_S`].
+pub const STATUS_QUERY_REQUESTS_MAX: usize = 8;
 
 /// Seconds without a response before the next request for the same comparison; most responses
 /// take under 10 ms.
-pub const POLL_REQUEST_INTERVAL_S: f64 = 0.2;
+pub const STATUS_QUERY_REQUEST_INTERVAL_S: f64 = 0.2;
 
 /// Timeout in seconds of a batch of status queries, including its task counts for display:
-/// together with the preceding [`POLL_BATCH_INTERVAL_S`](crate::POLL_BATCH_INTERVAL_S) and the
-/// network delay to the user it stays below the 2 s that users wait.
-pub const POLL_BATCH_TIMEOUT_S: f64 = 1.7;
+/// together with the preceding
+/// [`STATUS_QUERY_BATCH_INTERVAL_S`](crate::STATUS_QUERY_BATCH_INTERVAL_S) and the network delay
+/// to the user it stays below the 2 s that users wait.
+pub const STATUS_QUERY_BATCH_TIMEOUT_S: f64 = 1.7;
--- a/crates/net/src/connection_pool.rs
+++ b/crates/net/src/connection_pool.rs
@@ -62,12 +62,15 @@
     pub fn for_sockets(sockets: usize) -> Self {
         let share_of = |all: usize, share: f64| (all as f64 * share) as usize;
         let max_connections =
-            share_of(sockets, limits::SERVED_SOCKETS_SHARE).max(limits::MIN_SERVED_CONNECTIONS);
+            share_of(sockets, limits::SERVED_SOCKETS_SHARE).max(limits::SERVED_CONNECTIONS_MIN);
         PoolLimits {
             max_connections,
-            max_open_to_keep_users: share_of(max_connections, limits::KEEP_USERS_SHARE),
-            max_open_to_keep_workers: share_of(max_connections, limits::KEEP_WORKERS_SHARE),
-            max_active_users: share_of(max_connections, limits::ACTIVE_USERS_SHARE),
+            max_open_to_keep_users: share_of(max_connections, limits::KEEP_USER_CONNECTIONS_SHARE),
+            max_open_to_keep_workers: share_of(
+                max_connections,
+                limits::KEEP_WORKER_CONNECTIONS_SHARE,
+            ),
+            max_active_users: share_of(max_connections, limits::ACTIVE_USER_CONNECTIONS_SHARE),
         }
     }
 
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -65,7 +65,7 @@
     /// Earns for a request that was answered.
     pub fn record_answer(&self) {
         let mut left = lock(&self.0);
-        *left = (*left + limits::RETRY_BUDGET_PER_ANSWER).min(limits::RETRY_BUDGET_MAX);
+        *left = (*left + limits::RETRY_BUDGET_PER_RESPONSE).min(limits::RETRY_BUDGET_MAX);
     }
 
     /// Pays for a repetition, if there is enough for one.
--- a/crates/node/src/background/status_queries.rs
+++ b/crates/node/src/background/status_queries.rs
@@ -28,7 +28,7 @@
                 break;
             }
             node.host.spawn(answer_batch(node.clone(), batch));
-            node.host.sleep(limits::POLL_BATCH_INTERVAL_S).await;
+            node.host.sleep(limits::STATUS_QUERY_BATCH_INTERVAL_S).await;
         }
     }
 }
@@ -44,7 +44,7 @@
 /// is live, and nothing is waited for after it. When both were asked at the same time, a slow
 /// leader let jobs be called queued after their cancellation was confirmed.
 async fn answer_batch(node: Arc<Node>, batch: QueryBatch) {
-    let deadline = node.now() + limits::POLL_BATCH_TIMEOUT_S;
+    let deadline = node.now() + limits::STATUS_QUERY_BATCH_TIMEOUT_S;
     let ids: Vec<String> = batch.keys().cloned().collect();
     let counts = node.task_counts(&ids).await;
     let existing = match existing_keys(&node, &ids, deadline).await {
@@ -77,8 +77,8 @@
     deadline: f64,
 ) -> Result<HashSet<String>, NetError> {
     let policy = HedgePolicy {
-        max_requests: limits::POLL_REQUESTS_MAX,
-        interval_s: limits::POLL_REQUEST_INTERVAL_S,
+        max_requests: limits::STATUS_QUERY_REQUESTS_MAX,
+        interval_s: limits::STATUS_QUERY_REQUEST_INTERVAL_S,
         timeout_s: deadline - node.now(),
     };
     let compare = || {
--- a/crates/node/src/peer_requests.rs
+++ b/crates/node/src/peer_requests.rs
@@ -32,7 +32,7 @@
                 // the next ones soon.
                 let mut bytes = 0;
                 let answers = heartbeats.iter().map(|(heartbeat, run_times)| {
-                    if bytes > limits::PEER_FRAME_ANSWERS_BYTES_MAX {
+                    if bytes > limits::PEER_FRAME_RESPONSES_BYTES_MAX {
                         return None;
                     }
                     let answer = self.handle_heartbeat(&from, heartbeat, run_times)?;
--- a/crates/node/src/status_queries.rs
+++ b/crates/node/src/status_queries.rs
@@ -88,7 +88,7 @@
     /// When they were taken in the order of their ids, the last ones starved while more were
     /// asked about than a comparison holds. In order of arrival a query waits only for the
     /// batches before it, whatever others ask: `jobs asked about at once / most` times
-    /// `POLL_BATCH_INTERVAL_S`.
+    /// `STATUS_QUERY_BATCH_INTERVAL_S`.
     pub fn take_batch(&self, most: usize) -> QueryBatch {
         let mut queue = lock(&self.queue);
         let queue = &mut *queue;
