--- a/crates/control/src/leader/ledger/outcome.rs
+++ b/crates/control/src/leader/ledger/outcome.rs
@@ -1,15 +1,14 @@
-//! What became of the ledger's transactions: written, not written, or in doubt until the
-//! entry is read.
+//! Outcomes of ledger transactions: applied, not applied, or in doubt until the entry is read.
 
 use super::{FreedPlacement, LedgerBatch, LedgerEntry};
 use crate::leader::*;
 
 impl Leader {
-    /// What became of a ledger transaction.
+    /// Handles the outcome of a ledger transaction.
     pub fn ledger_batch_done(&mut self, batch: LedgerBatch, outcome: &WriteOutcome) {
-        let own = batch.key();
+        let first_key = batch.key();
         debug!(
-            key = own,
+            key = first_key,
             entries = batch.entries.len(),
             placements = batch.placements(),
             freed = batch.freed.len(),
@@ -19,58 +18,61 @@
         );
         match outcome {
             WriteOutcome::Applied(_) => self.record_written(batch),
-            WriteOutcome::Conflict(failed) if !failed.contains(&own) => {
+            WriteOutcome::Conflict(failed) if !failed.contains(&first_key) => {
                 self.record_unwritten(batch);
                 self.note_conflict(failed);
             }
-            // Not in doubt: what the state service refuses it hasn't executed. When refusals
-            // counted as unknown, an outage left hundreds of keys to be read again.
+            // A refused transaction is not in doubt: the key-value store has not executed it.
+            // Treating refusals as unknown would leave hundreds of keys to be read again after an
+            // outage.
             WriteOutcome::Refused => self.record_unwritten(batch),
-            // Unknown, or a conflict on its own key, which an earlier try may have written:
-            // reading the entry tells. Its placements start only after that, and no other
-            // ledger transaction is made meanwhile.
+            // The outcome is unknown, or the conflict is on the transaction's own key, which an
+            // earlier try may have written: reading the entry decides. Its placements start only
+            // after that, and no other ledger transaction is made meanwhile.
             _ => {
                 info!(
-                    key = own,
+                    key = first_key,
                     placements = batch.placements(),
                     "ledger transaction in doubt: its entry is read"
                 );
-                self.keys_to_reread.insert(own);
+                self.keys_to_reread.insert(first_key);
                 self.ledger.in_doubt = Some(batch);
             }
         }
     }
 
-    /// The batch was applied: its placements are durable and may start, and the entries that it
-    /// drops and the freed placements that it lists are done with.
+    /// Records that the batch was applied: its placements are durable and may start; the entries
+    /// that it drops, and the freed placements that it lists, are removed from memory.
     fn record_written(&mut self, batch: LedgerBatch) {
         for (id, rows) in batch.entries {
             let mut entry = LedgerEntry::default();
             for row in &rows {
                 let m = self.machines.get_mut(&row.machine);
-                let mut held: HashSet<u32> = HashSet::new();
+                let mut held_tasks: HashSet<u32> = HashSet::new();
                 for p in m.into_iter().flat_map(|m| m.placements.iter_mut()) {
-                    // A placement of an older entry, which this one holds again.
-                    let again = p.stage == PlacementStage::Durable && p.ledger_entry < id;
-                    if (p.stage != PlacementStage::Durable || again) && row.covers(p) {
+                    // A placement of an older entry that this entry holds again.
+                    let is_rewritten = p.stage == PlacementStage::Durable && p.ledger_entry < id;
+                    if (p.stage != PlacementStage::Durable || is_rewritten) && row.covers(p) {
                         crate::trace_job!(
                             p.task_id,
                             machine = row.machine,
                             entry = id,
-                            "in the ledger"
+                            "written to the ledger"
                         );
-                        if again && let Some(old) = self.ledger.entries.get_mut(&p.ledger_entry) {
+                        if is_rewritten
+                            && let Some(old) = self.ledger.entries.get_mut(&p.ledger_entry)
+                        {
                             old.live = old.live.saturating_sub(1);
                         }
                         p.stage = PlacementStage::Durable;
                         p.ledger_entry = id;
-                        held.insert(p.task_index);
+                        held_tasks.insert(p.task_index);
                     }
                 }
-                entry.live += held.len() as u32;
-                // Freed while its write was on its way.
+                entry.live += held_tasks.len() as u32;
+                // These placements were freed while their write was in flight.
                 for task in row.first_task..row.first_task + row.task_count {
-                    if !held.contains(&task) {
+                    if !held_tasks.contains(&task) {
                         self.ledger.freed.push(FreedPlacement {
                             attempt: row.attempt,
                             task_index: task,
@@ -90,8 +92,8 @@
             .drain(..batch.freed.len().min(self.ledger.freed.len()));
     }
 
-    /// The batch was not applied: its placements are planned again, or dropped if their job is
-    /// over.
+    /// Records that the batch was not applied: its placements are planned again, or dropped if
+    /// their job is over.
     fn record_unwritten(&mut self, batch: LedgerBatch) {
         let mut dropped = Vec::new();
         for row in batch.entries.iter().flat_map(|e| &e.1) {
@@ -104,11 +106,11 @@
                     return true;
                 }
                 p.stage = PlacementStage::Planned;
-                let live = !p.job_is_over(&self.jobs);
-                if !live {
+                let is_live = !p.job_is_over(&self.jobs);
+                if !is_live {
                     dropped.push((p.clone(), zone.clone()));
                 }
-                live
+                is_live
             });
             self.machines_to_record.insert(row.machine.clone());
         }
@@ -117,8 +119,8 @@
         }
     }
 
-    /// Guards on these keys failed: the leader is deposed if its own key is among them, and the
-    /// others are to be read again.
+    /// Handles failed guards on these keys: the leader is deposed if its own key is among them, and
+    /// the other keys are to be read again.
     pub(in crate::leader) fn note_conflict(&mut self, failed: &[String]) {
         for key in failed {
             if key == keys::LEADER {
@@ -129,36 +131,36 @@
         }
     }
 
-    /// A key was read again; `mark` is its revision, 0 if it is gone.
-    pub fn reread_done(&mut self, key: &str, mark: u64) {
+    /// Handles the result of reading a key again; `revision` is 0 if the key is gone.
+    pub fn reread_done(&mut self, key: &str, revision: u64) {
         self.keys_to_reread.remove(key);
         if key.starts_with(keys::LEDGER) {
             if let Some(batch) = self.ledger.in_doubt.take_if(|b| b.key() == key) {
                 info!(
                     key,
-                    revision = mark,
-                    written = mark > 0,
+                    revision,
+                    written = revision > 0,
                     "ledger transaction no longer in doubt"
                 );
-                // If it is still written after it was read as missing, it only repeats what the
-                // next entry holds: a new leader then counts placements that may not exist, and
-                // frees them on proof as usual.
-                if mark > 0 {
+                // If the transaction is still applied after its entry was read as missing, it only
+                // repeats what the next entry holds: a new leader then counts placements that may
+                // not exist, and frees them on proof as usual.
+                if revision > 0 {
                     self.record_written(batch);
                 } else {
                     self.record_unwritten(batch);
                 }
             }
         } else if let Some(id) = keys::job_of(key) {
-            if mark == 0 {
+            if revision == 0 {
                 self.remove_job(id);
             } else if let Some(job) = self.jobs.by_id_mut(id) {
-                job.revision = mark;
+                job.revision = revision;
             }
         } else if let Some((id, part)) = keys::progress_of(key)
             && let Some(job) = self.jobs.by_id_mut(id)
         {
-            job.stored_progress.set_revision(part, mark);
+            job.stored_progress.set_revision(part, revision);
         }
     }
 }
--- a/crates/node/src/background/maintenance.rs
+++ b/crates/node/src/background/maintenance.rs
@@ -1,5 +1,5 @@
-//! Periodic maintenance: old entries are dropped, postponed commits are tried again, and
-//! changes of readiness, stalls and refused queries are logged.
+//! Periodic maintenance: evicts old entries, retries postponed commits, and logs changes of
+//! readiness, stalls of the process, evicted or refused connections and refused queries.
 
 use super::transactions::reread_revisions;
 use crate::node::Node;
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 use tracing::{debug, info, warn};
 
-/// Rounds of a leader between two summaries in the log.
+/// Maintenance rounds of the leader between two summaries in the log.
 const ROUNDS_PER_SUMMARY: u32 = 20;
 
-/// Rounds between two looks at what became of the served connections.
+/// Maintenance rounds between two log lines about the served connections.
 const ROUNDS_PER_CONNECTION_COUNTS: u32 = 20;
 
-/// Runs a round every `AGING_INTERVAL_S`.
+/// Runs a maintenance round every `AGING_INTERVAL_S`.
 pub(super) async fn run(node: Arc<Node>) {
     let mut leader_rounds = 0u32;
     let mut rounds = 0u32;
@@ -40,7 +40,7 @@
                 "status queries refused: state service or request budget"
             );
         }
-        forget_old(&node, now);
+        evict_old_entries(&node, now);
         rounds = rounds.wrapping_add(1);
         if rounds.is_multiple_of(ROUNDS_PER_CONNECTION_COUNTS) {
             log_connections(&node, &mut connections_logged);
@@ -61,10 +61,10 @@
         info!("ready: users are served again");
         return;
     }
-    let without_store_s = now - state.store_contact.last_answered_at;
+    let without_store_s = now - state.store_contact.last_response_at;
     let why = match state.term.is_settling(now) {
-        true => "failover; heartbeats come first",
-        false => "no contact with the state service",
+        true => "failover: heartbeats take precedence",
+        false => "no response from the key-value store",
     };
     warn!(
         without_store_s,
@@ -72,12 +72,13 @@
     );
 }
 
-/// Logs what became of the served connections, if one was evicted or refused since `logged`.
+/// Logs the counts of served connections: at info level if a connection was evicted or refused
+/// since `logged`, else at debug level.
 fn log_connections(node: &Node, logged: &mut PoolCounts) {
     let counts = node.served_connections.counts();
     let open = node.served_connections.open();
-    let lossy = |counts: &PoolCounts| counts.evicted() + counts.refused();
-    if lossy(&counts) == lossy(logged) {
+    let rejected = |counts: &PoolCounts| counts.evicted() + counts.refused();
+    if rejected(&counts) == rejected(logged) {
         debug!(open, ?counts, "served connections");
     } else {
         info!(
@@ -89,16 +90,16 @@
     *logged = counts;
 }
 
-fn forget_old(node: &Node, now: f64) {
+fn evict_old_entries(node: &Node, now: f64) {
     let mut state = node.lock_state();
     state
         .shard
         .forget_silent(now, limits::SILENT_MACHINE_MEMORY_S);
-    node.admission_filter.forget_old(now);
+    node.admission_filter.evict_old_refusals(now);
 }
 
 /// Counts a round of the leader, and logs its summary every `ROUNDS_PER_SUMMARY` rounds.
-/// False if this controller doesn't lead.
+/// Returns false if this controller does not lead.
 fn run_leader_round(node: &Node, rounds: &mut u32, now: f64) -> bool {
     let mut state = node.lock_state();
     let Some(leader) = state.term.leader_if_may_write(now) else {
--- a/crates/node/src/feasibility.rs
+++ b/crates/node/src/feasibility.rs
@@ -1,27 +1,28 @@
-//! Can a job ever run, by what this controller has read of teams and machine types?
+//! Checks whether a job can ever run, by the teams and machine types that this controller has
+//! read.
 
 use cherrywood_control::Team;
 use cherrywood_wire::cloud::MachineType;
 use cherrywood_wire::user::{JobKind, Submission};
 
-/// Slack for sums of resources that users wrote as decimal fractions.
+/// Tolerance for sums of resources that users wrote as decimal fractions.
 const ROUNDING: f64 = 1e-6;
 
-/// Why a job can never run.
+/// Reason why a job can never run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Infeasible {
-    /// The settings name no such team.
+    /// The settings do not name the job's team.
     #[error("unknown team")]
     UnknownTeam,
     /// No machine type that the job allows is large enough for one of its tasks.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// What must run at once takes more than the team's limit.
+    /// The tasks that must run at once take more than the team's limit.
     #[error("more than the team's limit")]
     OverTeamLimit,
 }
 
-/// Tells why a job can never run, if so.
+/// Checks that a job can run; fails with the reason if it never can.
 pub(crate) fn check_feasible(
     job: &Submission,
     teams: &[Team],
@@ -38,8 +39,8 @@
         JobKind::Service => f64::from(job.tasks),
         JobKind::Array | JobKind::Gang => 1.0,
     };
-    let over = |each: f64, most: f64| each * tasks_at_once > most + ROUNDING;
-    if over(job.cpus, team.cpus_max) || over(job.gpus, team.gpus_max) {
+    let exceeds = |per_task: f64, limit: f64| per_task * tasks_at_once > limit + ROUNDING;
+    if exceeds(job.cpus, team.cpus_max) || exceeds(job.gpus, team.gpus_max) {
         return Err(Infeasible::OverTeamLimit);
     }
     Ok(())
--- a/crates/node/src/peer_requests.rs
+++ b/crates/node/src/peer_requests.rs
@@ -1,12 +1,12 @@
-//! What other controllers ask, and the hellos by which controllers know of each other.
+//! Requests of other controllers, and the hellos by which controllers stay in contact.
 //!
-//! Each controller says hello to every peer once a second. The leader's answer renews the
-//! shard of the one that asked; every answer tells whether the state service is reached from
-//! there, and brings a newer admission table if there is one.
+//! Each controller sends a hello to every peer once a second. The leader's response renews the
+//! sender's shard leases. Every response tells whether the responding controller reaches the
+//! key-value store, and contains its admission table if that is newer than the sender's.
 
 use crate::frames;
 use crate::node::Node;
-use crate::task_counts::counted_by;
+use crate::task_counts::leader_task_counts;
 use cherrywood_limits as limits;
 use cherrywood_net::peer::PeerClient;
 use cherrywood_wire::admission::TableVersion;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 impl Node {
-    /// Answers one request of another controller.
+    /// Handles one request of another controller.
     pub async fn handle_peer_request(self: &Arc<Self>, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Hello {
@@ -28,16 +28,16 @@
                 self.handle_hello(&from, store_reachable, table_version, now)
             }
             PeerRequest::Heartbeats { from, heartbeats } => {
-                // Heartbeats whose answers the frame can't hold are ignored: their workers send
-                // the next ones soon.
+                // Heartbeats whose responses do not fit into the frame are ignored: their workers
+                // soon send the next ones.
                 let mut bytes = 0;
                 let answers = heartbeats.iter().map(|(heartbeat, run_times)| {
                     if bytes > limits::PEER_FRAME_RESPONSES_BYTES_MAX {
                         return None;
                     }
-                    let answer = self.handle_heartbeat(&from, heartbeat, run_times)?;
-                    bytes += frames::commands_bytes(&answer.commands);
-                    Some((answer.fencing_token, answer.commands))
+                    let response = self.handle_heartbeat(&from, heartbeat, run_times)?;
+                    bytes += frames::commands_bytes(&response.commands);
+                    Some((response.fencing_token, response.commands))
                 });
                 PeerReply::Heartbeats {
                     answers: answers.collect(),
@@ -49,12 +49,12 @@
                     executed: deliveries.into_iter().map(Into::into).collect(),
                 }
             }
-            PeerRequest::TaskCounts { jobs } => self.handle_counts(&jobs),
+            PeerRequest::TaskCounts { jobs } => self.handle_task_counts(&jobs),
         }
     }
 
-    /// Answers the hello of `from`, which reaches the state service or doesn't and has this
-    /// version of the admission table.
+    /// Handles the hello of controller `from`. `peer_reaches_store` tells whether that controller
+    /// reaches the key-value store, `table` is the version of its admission table.
     fn handle_hello(
         &self,
         from: &str,
@@ -66,7 +66,7 @@
         let contact = &mut state.store_contact;
         contact.peer_last_heard_at = now;
         if peer_reaches_store {
-            contact.answered_peer(now);
+            contact.record_peer_response(now);
         }
         let store_reachable = contact.is_recent(now);
         let leading_term = state.term.leader_if_may_write(now).map(|l| l.term());
@@ -84,26 +84,28 @@
         }
     }
 
-    fn handle_counts(&self, jobs: &[String]) -> PeerReply {
+    fn handle_task_counts(&self, jobs: &[String]) -> PeerReply {
         let now = self.now();
         match self.lock_state().term.leader_if_may_write(now) {
             Some(leader) => PeerReply::TaskCounts {
-                counts: counted_by(leader, jobs, now),
+                counts: leader_task_counts(leader, jobs, now),
             },
             None => PeerReply::Declined,
         }
     }
 
-    /// Says hello to one peer, and takes in what it answers.
-    pub(crate) async fn say_hello(&self, peer: &PeerClient) {
+    /// Sends a hello to one peer, and applies its response.
+    pub(crate) async fn send_hello(&self, peer: &PeerClient) {
         let sent = self.now();
         let store_reachable = self.lock_state().store_contact.is_recent(sent);
-        let news = self.admission_filter.refusals_to_tell(&peer.label, sent);
+        let refusals = self
+            .admission_filter
+            .unacknowledged_refusals(&peer.label, sent);
         let request = PeerRequest::Hello {
             from: self.label().to_string(),
             store_reachable,
             table_version: self.admission_filter.table_version(),
-            refused: news.refused,
+            refused: refusals.refused,
         };
         let reply = peer
             .ask(&request, limits::HEARTBEAT_FORWARD_TIMEOUT_S)
@@ -120,7 +122,7 @@
             return;
         };
         let filter = &self.admission_filter;
-        filter.refusals_acknowledged(&peer.label, process_id, news.next_sequence);
+        filter.acknowledge_refusals(&peer.label, process_id, refusals.next_sequence);
         let now = self.now();
         if let Some(table) = table {
             filter.adopt_if_newer(&table);
@@ -131,10 +133,10 @@
         let mut state = self.lock_state();
         state.store_contact.peer_last_heard_at = now;
         if store_reachable {
-            state.store_contact.answered_peer(sent);
+            state.store_contact.record_peer_response(sent);
         }
         if leading_term.is_some() {
-            state.leader_contact.answered_as_leader(from, now);
+            state.leader_contact.record_leader_response(from, now);
             for (machine, token) in shard {
                 let shard_lease_s = self.timing.shard_lease_s;
                 state
--- a/crates/node/src/worker_client.rs
+++ b/crates/node/src/worker_client.rs
@@ -1,4 +1,4 @@
-//! Commands and status queries that a controller sends straight to workers, instead of waiting
+//! Commands and status queries that a controller sends directly to workers, instead of waiting
 //! for their next heartbeats.
 
 use crate::node::Node;
@@ -30,14 +30,14 @@
             )
             .await;
         match sent {
-            Ok(answer) if answer.status == 200 => CommandOutcome::Executed,
+            Ok(response) if response.status == 200 => CommandOutcome::Executed,
             Ok(_) | Err(NetError::NotExecuted { .. }) => CommandOutcome::NotExecuted,
             Err(_) => CommandOutcome::Unknown,
         }
     }
 
-    /// The same for many machines (name, address, commands), all at once: one silent worker
-    /// must not hold up the others. One result for each, in order.
+    /// Sends commands of the leader to many machines (name, address, commands) concurrently: one
+    /// silent worker must not delay the others. Returns one outcome per machine, in order.
     pub(crate) async fn deliver_commands_to_all(
         self: &Arc<Self>,
         commands: Vec<(String, String, DirectCommands)>,
@@ -58,23 +58,24 @@
         deliveries
     }
 
-    /// Sends commands to a worker whose heartbeats don't arrive; returns the heartbeat with
-    /// which it answers, if it does.
-    pub(crate) async fn command_silent_worker(
+    /// Sends commands to a worker whose heartbeats do not arrive. Returns the heartbeat in its
+    /// response, if it responds.
+    pub(crate) async fn send_commands_to_silent_worker(
         &self,
         addr: &str,
         commands: &DirectCommands,
     ) -> Option<Heartbeat> {
         let body = cherrywood_wire::encode(commands);
-        self.ask_worker(addr, "POST", "/orders", Some(&body)).await
+        self.request_heartbeat(addr, "POST", "/orders", Some(&body))
+            .await
     }
 
-    /// A worker's status, in the form of a heartbeat; None if it doesn't answer.
+    /// A worker's status, in the form of a heartbeat; `None` if the worker does not respond.
     pub(crate) async fn worker_status(&self, addr: &str) -> Option<Heartbeat> {
-        self.ask_worker(addr, "GET", "/status", None).await
+        self.request_heartbeat(addr, "GET", "/status", None).await
     }
 
-    async fn ask_worker(
+    async fn request_heartbeat(
         &self,
         addr: &str,
         method: &str,
