--- a/crates/sched/tests/predictor.rs
+++ b/crates/sched/tests/predictor.rs
@@ -71,7 +71,7 @@
         "{b:?}"
     );
     assert_eq!(p.level("l", 0.0), 2);
-    assert_eq!(p.level("unknown", 0.0), limits::DEFAULT_LEVEL);
+    assert_eq!(p.level("nobody", 0.0), limits::DEFAULT_LEVEL);
 }
 
 #[test]
