--- a/crates/control/src/leader/ledger.rs
+++ b/crates/control/src/leader/ledger.rs
@@ -166,8 +166,8 @@
         // Placements that compaction writes again do not justify a transaction by themselves.
         let has_new_placements = draft.rows() > 0;
         let dropped_entries = self.compact_oldest_entries(&mut draft, max_changes);
-        let is_worthwhile = dropped_entries.len() >= limits::LOG_DROPS_WORTH_A_WRITE
-            || freed.len() >= limits::LOG_FREED_WORTH_A_WRITE;
+        let is_worthwhile = dropped_entries.len() >= limits::LOG_DROPS_WRITE_THRESHOLD
+            || freed.len() >= limits::LOG_FREED_WRITE_THRESHOLD;
         if !has_new_placements && !is_worthwhile {
             return None;
         }
