--- a/crates/checker/src/cancelled.rs
+++ b/crates/checker/src/cancelled.rs
@@ -4,7 +4,7 @@
 
 use crate::history::{Event, State, What, job_of};
 use crate::quiet_periods::QuietPeriods;
-use crate::violation::{Breach, Rule};
+use crate::violation::{Rule, Violation};
 use std::collections::BTreeMap;
 
 /// Time for which a command may be in flight while no fault is active, in ms: a worker drops
@@ -23,7 +23,7 @@
 
 impl CancelledStarts {
     /// Processes an event. Returns a violation if it is a start that no delay explains.
-    pub fn feed(&mut self, event: &Event) -> Option<Breach> {
+    pub fn feed(&mut self, event: &Event) -> Option<Violation> {
         self.quiet_periods.feed(event);
         match &event.what {
             What::Told {
@@ -45,12 +45,12 @@
     }
 
     /// Checks a start command that a machine accepted.
-    fn start_accepted(&self, machine: &str, task: &str, at_ms: u64) -> Option<Breach> {
+    fn start_accepted(&self, machine: &str, task: &str, at_ms: u64) -> Option<Violation> {
         let reported_ms = *self.reported_ms.get(job_of(task))?;
         // A command that a fault delayed may arrive long after the user was told.
         let explained_until =
             reported_ms.max(self.quiet_periods.quiet_since_ms()?) + MAX_IN_FLIGHT_MS;
-        (at_ms > explained_until).then(|| Breach {
+        (at_ms > explained_until).then(|| Violation {
             rule: Rule::StartedCancelled,
             what: task.to_string(),
             place: machine.to_string(),
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -3,13 +3,13 @@
 //! objectives were met. It shares no code with the controllers, so that a mistake of theirs is
 //! not repeated here.
 
-pub mod aims;
 mod cancelled;
 mod capacity;
 pub mod failed_day;
 mod feasibility;
 pub mod groups;
 pub mod history;
+pub mod measurements;
 mod placement;
 mod quiet_periods;
 pub mod responses;
@@ -20,12 +20,12 @@
 pub mod violation;
 pub mod waiting;
 
-pub use aims::{Aims, ClassFigures};
 pub use failed_day::Failure;
 pub use groups::GroupFigures;
 pub use history::{Event, History, What};
+pub use measurements::{ClassFigures, Measurements};
 pub use rules::Checker;
 pub use settle::{End, Settled};
-pub use starvation::{Least, Share};
-pub use violation::{Breach, Rule};
+pub use starvation::{LeastServed, Share};
+pub use violation::{Rule, Violation};
 pub use waiting::Wait;
--- a/crates/checker/src/aims.rs
+++ b/crates/checker/src/measurements.rs
@@ -32,7 +32,7 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Aims {
+pub struct Measurements {
     pub reached: Vec<ObjectiveResult>,
     pub classes: BTreeMap<String, ClassFigures>,
     /// Figures of all classes together.
@@ -115,7 +115,7 @@
     }
 }
 
-pub fn count(events: &[Event]) -> Aims {
+pub fn measure(events: &[Event]) -> Measurements {
     let mut facts = Facts {
         cancel_s: 0.0,
         teams: Vec::new(),
@@ -125,7 +125,7 @@
     };
     let mut jobs: BTreeMap<String, TrackedJob> = BTreeMap::new();
     let mut machines: BTreeMap<String, Machine> = BTreeMap::new();
-    let mut aims = Aims::default();
+    let mut measured = Measurements::default();
     for e in events {
         let at = e.at_ms;
         match &e.what {
@@ -177,12 +177,12 @@
                 machines.insert(machine.clone(), m);
             }
             What::Gone { machine, cost, .. } => {
-                aims.cost += cost;
+                measured.cost += cost;
                 if let Some(m) = machines.get(machine) {
                     // The cost of the machine times the useful share of its CPU time.
                     let all = m.cpus * (at - m.since).max(1) as f64 / 1000.0;
-                    aims.useful_cost += cost * (m.useful / all).min(1.0);
-                    aims.useful_cpu_s += m.useful;
+                    measured.useful_cost += cost * (m.useful / all).min(1.0);
+                    measured.useful_cpu_s += m.useful;
                 }
             }
             What::On { task, .. } => {
@@ -224,17 +224,21 @@
         .iter()
         .map(|k| k.spot_price.unwrap_or(k.price).min(k.price) / k.cpus.max(0.001))
         .fold(f64::INFINITY, f64::min);
-    let worth = aims.useful_cpu_s * cheapest / 3600.0;
-    aims.price = if worth > 0.0 { aims.cost / worth } else { 0.0 };
+    let worth = measured.useful_cpu_s * cheapest / 3600.0;
+    measured.price = if worth > 0.0 {
+        measured.cost / worth
+    } else {
+        0.0
+    };
     set_ready_times(&mut jobs);
-    aims.classes = classes(&jobs);
-    aims.all = figures(jobs.values().filter(|t| !t.unwanted && !t.refused));
-    aims.reached = facts
+    measured.classes = classes(&jobs);
+    measured.all = figures(jobs.values().filter(|t| !t.unwanted && !t.refused));
+    measured.reached = facts
         .aims
         .iter()
-        .map(|aim| evaluate(aim, &jobs, &facts, &aims))
+        .map(|aim| evaluate(aim, &jobs, &facts, &measured))
         .collect();
-    aims
+    measured
 }
 
 fn find_task<'a>(
@@ -334,7 +338,7 @@
     aim: &Aim,
     jobs: &BTreeMap<String, TrackedJob>,
     facts: &Facts,
-    sums: &Aims,
+    sums: &Measurements,
 ) -> ObjectiveResult {
     let ms = |s: f64| (s * 1000.0) as u64;
     // Of each job, only as many tasks count as the limit of its team allows at once.
--- a/crates/checker/src/rules.rs
+++ b/crates/checker/src/rules.rs
@@ -6,9 +6,9 @@
 use crate::history::{Event, Facts, Job, Off, What, job_of};
 use crate::placement::Place;
 use crate::responses::{ReceivedResponses, Response};
-use crate::starvation::{Least, Starvation};
+use crate::starvation::{LeastServed, Starvation};
 use crate::unanswered::Unanswered;
-use crate::violation::{Breach, Rule};
+use crate::violation::{Rule, Violation};
 use crate::waiting::{Wait, Waiting};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -83,8 +83,8 @@
     /// Figures of each class and team; set at the end.
     pub groups: Vec<GroupFigures>,
     /// The least served class or team; set at the end if the scenario asks for a served share.
-    pub least: Option<Least>,
-    pub breaches: Vec<Breach>,
+    pub least: Option<LeastServed>,
+    pub violations: Vec<Violation>,
 }
 
 impl Checker {
@@ -92,8 +92,8 @@
         Checker::default()
     }
 
-    fn breach(&mut self, b: Breach) {
-        self.breaches.push(b);
+    fn violation(&mut self, b: Violation) {
+        self.violations.push(b);
     }
 
     pub fn feed(&mut self, event: &Event) {
@@ -101,8 +101,8 @@
         self.check_cancel_deadlines(at);
         self.starvation.feed(event);
         self.waiting.feed(event);
-        self.breaches.extend(self.cancelled.feed(event));
-        self.breaches.extend(self.unanswered.feed(event));
+        self.violations.extend(self.cancelled.feed(event));
+        self.violations.extend(self.unanswered.feed(event));
         match &event.what {
             What::Begins { facts, .. } => self.facts = Some(facts.clone()),
             What::Submitted { job } => self.submitted(job),
@@ -184,11 +184,11 @@
                 continue;
             };
             let reported_ms = tracked.responses.final_state.map_or(0, |e| e.1);
-            let late: Vec<Breach> = tracked
+            let late: Vec<Violation> = tracked
                 .on_machines
                 .iter()
                 .flat_map(|(n, on)| on.iter().map(move |(machine, _)| (n, machine)))
-                .map(|(n, machine)| Breach {
+                .map(|(n, machine)| Violation {
                     rule: Rule::RanCancelled,
                     what: format!("{id}/{n}"),
                     place: machine.clone(),
@@ -197,7 +197,7 @@
                     why: "still there after its user was told of the cancellation".into(),
                 })
                 .collect();
-            self.breaches.extend(late);
+            self.violations.extend(late);
         }
     }
 
@@ -228,13 +228,13 @@
     fn finish(&mut self, at: u64) {
         self.check_cancel_deadlines(at + 1);
         let starved = self.starvation.violations(at);
-        self.breaches.extend(starved);
-        self.breaches.extend(self.waiting.breaches());
+        self.violations.extend(starved);
+        self.violations.extend(self.waiting.violations());
         self.failures = failed_day::failures(&self.starvation, at);
         self.groups = groups::figures(&self.starvation, &self.waiting, &self.unanswered);
         self.least = self.starvation.least(at);
         if self.starts == 0 && self.submitted > 0 {
-            self.breach(Breach {
+            self.violation(Violation {
                 rule: Rule::NothingRan,
                 what: format!("{} jobs", self.submitted),
                 place: "all machines".into(),
@@ -260,13 +260,13 @@
     /// Returns the number of violations of each rule.
     pub fn counts(&self) -> BTreeMap<&'static str, usize> {
         let mut counts: BTreeMap<_, _> = Rule::ALL.iter().map(|r| (r.name(), 0)).collect();
-        for b in &self.breaches {
+        for b in &self.violations {
             *counts.entry(b.rule.name()).or_default() += 1;
         }
         counts
     }
 
-    pub fn of(events: &[Event]) -> Checker {
+    pub fn from_events(events: &[Event]) -> Checker {
         let mut checker = Checker::new();
         for e in events {
             checker.feed(e);
--- a/crates/checker/src/rules/responses.rs
+++ b/crates/checker/src/rules/responses.rs
@@ -4,7 +4,7 @@
 use crate::feasibility;
 use crate::history::{Ask, State};
 use crate::responses::{Contradiction, Response};
-use crate::violation::{Breach, Rule};
+use crate::violation::{Rule, Violation};
 use std::collections::BTreeSet;
 
 impl Checker {
@@ -13,7 +13,7 @@
         if response.ask == Ask::Poll {
             self.queries.count(response);
         }
-        let breach = |rule, since_ms, why: String| Breach {
+        let violation = |rule, since_ms, why: String| Violation {
             rule,
             what: id.to_string(),
             place: node.to_string(),
@@ -33,7 +33,7 @@
                         "no user has submitted it; request sent".into(),
                     ),
                 };
-                self.breach(breach(rule, response.sent_ms, why));
+                self.violation(violation(rule, response.sent_ms, why));
             }
             return;
         };
@@ -43,9 +43,9 @@
             .chain(self.queries_fail_while_others_succeed(id, response))
             .chain(self.accepted_infeasible(id, response))
             .chain(self.contradicted_states(id, response))
-            .map(|found| breach(found.rule, found.since_ms, found.why))
+            .map(|found| violation(found.rule, found.since_ms, found.why))
             .collect();
-        self.breaches.extend(found);
+        self.violations.extend(found);
         self.record_response(id, response);
     }
 
--- a/crates/checker/src/rules/starts.rs
+++ b/crates/checker/src/rules/starts.rs
@@ -4,7 +4,7 @@
 use crate::history::{State, job_of};
 use crate::placement::{self, Placed};
 use crate::responses::Contradiction;
-use crate::violation::{Breach, Rule};
+use crate::violation::{Rule, Violation};
 
 impl Checker {
     /// Checks and records that a task is on a machine from now on.
@@ -24,7 +24,7 @@
                 why: "no user has submitted it; it started".into(),
             }],
         };
-        let breach = |found: Contradiction| Breach {
+        let violation = |found: Contradiction| Violation {
             rule: found.rule,
             what: task.to_string(),
             place: machine.to_string(),
@@ -32,7 +32,7 @@
             at_ms: at,
             why: found.why,
         };
-        self.breaches.extend(found.into_iter().map(breach));
+        self.violations.extend(found.into_iter().map(violation));
     }
 
     /// Returns the rules that a start breaks, apart from the limit of its team.
--- a/crates/checker/src/starvation.rs
+++ b/crates/checker/src/starvation.rs
@@ -3,7 +3,7 @@
 
 use crate::feasibility;
 use crate::history::{Event, Facts, Job, MachineType, Off, What, job_of};
-use crate::violation::{Breach, Rule};
+use crate::violation::{Rule, Violation};
 use cherrywood_scenario::deployment::Served;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -39,7 +39,7 @@
 
 /// The least served class or team, and the share that would have been possible.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Least {
+pub struct LeastServed {
     /// Share of the jobs of the group done in time.
     pub share: f64,
     /// Name of the group: a class, its largest tenth, or a team.
@@ -324,7 +324,7 @@
     }
 
     /// Returns the least served group, if the scenario asks for a served share.
-    pub fn least(&self, at: u64) -> Option<Least> {
+    pub fn least(&self, at: u64) -> Option<LeastServed> {
         let within_ms = (self.target?.within_s * 1000.0) as u64;
         let groups = self.groups(within_ms, at);
         let least = groups
@@ -359,7 +359,7 @@
             classes.values().map(of).sum()
         };
         let fits = (0..=1000).rev().find(|s| required(*s) <= available);
-        Some(Least {
+        Some(LeastServed {
             share: group.share(),
             name: match *what {
                 "class" | "team" => (*name).to_string(),
@@ -371,16 +371,16 @@
     }
 
     /// Returns the violations at the end of the scenario.
-    pub fn violations(&self, at: u64) -> Vec<Breach> {
+    pub fn violations(&self, at: u64) -> Vec<Violation> {
         let Some(target) = self.target else {
             return Vec::new();
         };
         let groups = self.groups((target.within_s * 1000.0) as u64, at);
-        let mut breaches = Vec::new();
+        let mut violations = Vec::new();
         if let (Some(begin_s), Some((ms, id))) = (target.begin_s, self.longest_start(at))
             && ms as f64 > begin_s * 1000.0
         {
-            breaches.push(Breach {
+            violations.push(Violation {
                 rule: Rule::Starved,
                 what: format!("job {id}"),
                 place: "all machines".into(),
@@ -404,7 +404,7 @@
             let spare = |g: &Group| g.got * (1.0 - target.share / g.share().max(target.share));
             let spare: f64 = others.map(|(_, g)| spare(g)).sum();
             if spare >= needs {
-                breaches.push(Breach {
+                violations.push(Violation {
                     rule: Rule::Starved,
                     what: format!("{what} {name}"),
                     place: "all machines".into(),
@@ -418,6 +418,6 @@
                 });
             }
         }
-        breaches
+        violations
     }
 }
--- a/crates/checker/src/unanswered.rs
+++ b/crates/checker/src/unanswered.rs
@@ -2,7 +2,7 @@
 
 use crate::history::{Ask, Event, What};
 use crate::quiet_periods::QuietPeriods;
-use crate::violation::{Breach, Rule};
+use crate::violation::{Rule, Violation};
 use std::collections::BTreeMap;
 
 /// Time without a conclusive response after which an accepted job counts as forgotten, once
@@ -29,7 +29,7 @@
 impl Unanswered {
     /// Processes an event. Returns a violation if a job has had no conclusive response for too
     /// long.
-    pub fn feed(&mut self, event: &Event) -> Option<Breach> {
+    pub fn feed(&mut self, event: &Event) -> Option<Violation> {
         self.quiet_periods.feed(event);
         let What::Told {
             ask,
@@ -59,7 +59,7 @@
             return None;
         }
         requests.reported = true;
-        Some(Breach {
+        Some(Violation {
             rule: Rule::Forgotten,
             what: job.clone(),
             place: node.clone(),
--- a/crates/checker/src/violation.rs
+++ b/crates/checker/src/violation.rs
@@ -74,7 +74,7 @@
 
 /// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
     /// The job or task.
     pub what: String,
@@ -87,7 +87,7 @@
     pub why: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/crates/checker/src/waiting.rs
+++ b/crates/checker/src/waiting.rs
@@ -4,7 +4,7 @@
 use crate::capacity::{FreeCapacity, Size};
 use crate::history::{Event, Job, Off, State, What, job_of};
 use crate::quiet_periods::QuietPeriods;
-use crate::violation::{Breach, Rule};
+use crate::violation::{Rule, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time from which a wait although there is capacity is too long, in ms.
@@ -300,9 +300,9 @@
 
     /// Returns a violation for each job left waiting once all faults were over; for use at the
     /// end.
-    pub fn breaches(&self) -> Vec<Breach> {
+    pub fn violations(&self) -> Vec<Violation> {
         let too_long = |wait: &&Wait| wait.length_ms() >= LEFT_WAITING_MS;
-        let breach = |wait: &Wait| Breach {
+        let violation = |wait: &Wait| Violation {
             rule: Rule::LeftWaiting,
             what: wait.job.clone(),
             place: wait.machine.clone(),
@@ -311,7 +311,11 @@
             why: "left waiting with capacity there and its team under its limit; the wait began"
                 .into(),
         };
-        self.current.values().filter(too_long).map(breach).collect()
+        self.current
+            .values()
+            .filter(too_long)
+            .map(violation)
+            .collect()
     }
 }
 
--- a/crates/checker/tests/checker.rs
+++ b/crates/checker/tests/checker.rs
@@ -3,7 +3,7 @@
 
 use cherrywood_checker::history::{Aim, Ask, Facts, Job, MachineType, Off, Served, State, Team};
 use cherrywood_checker::settle::{self, End};
-use cherrywood_checker::{Checker, History, Rule, What, aims};
+use cherrywood_checker::{Checker, History, Rule, What, measurements};
 
 const CANCEL_S: f64 = 40.0;
 
@@ -160,10 +160,10 @@
     /// Asserts that there is exactly one violation, of this rule, and returns its message.
     fn assert_only(&mut self, rule: Rule) -> String {
         self.add(What::Ends);
-        let checker = Checker::of(&self.history.events);
-        let rules: Vec<Rule> = checker.breaches.iter().map(|b| b.rule).collect();
-        assert_eq!(rules, [rule], "{:#?}", checker.breaches);
-        checker.breaches[0].to_string()
+        let checker = Checker::from_events(&self.history.events);
+        let rules: Vec<Rule> = checker.violations.iter().map(|b| b.rule).collect();
+        assert_eq!(rules, [rule], "{:#?}", checker.violations);
+        checker.violations[0].to_string()
     }
 }
 
@@ -177,7 +177,11 @@
         .at(10)
         .poll("wk-000001", State::Done)
         .add(What::Ends);
-    assert!(Checker::of(&builder.history.events).breaches.is_empty());
+    assert!(
+        Checker::from_events(&builder.history.events)
+            .violations
+            .is_empty()
+    );
     let ends = settle::settle(&builder.history.events);
     assert_eq!(ends["wk-000001"].end, End::Done);
 }
@@ -198,7 +202,11 @@
     builder.at(5).on("vm-1", "wk-000001/0");
     builder.at(6).off("vm-1", "wk-000001/0", Off::Lease, 0.0);
     builder.at(8).on("vm-2", "wk-000001/0").add(What::Ends);
-    assert!(Checker::of(&builder.history.events).breaches.is_empty());
+    assert!(
+        Checker::from_events(&builder.history.events)
+            .violations
+            .is_empty()
+    );
 }
 
 #[test]
@@ -226,7 +234,11 @@
         builder.at(2).on("vm-1", &format!("wk-000001/{i}"));
     }
     builder.add(What::Ends);
-    assert!(Checker::of(&builder.history.events).breaches.is_empty());
+    assert!(
+        Checker::from_events(&builder.history.events)
+            .violations
+            .is_empty()
+    );
 }
 
 #[test]
@@ -281,7 +293,9 @@
         .off("vm-1", "wk-000001/0", Off::Stopped, 0.0)
         .add(What::Ends);
     assert!(
-        Checker::of(&builder.history.events).breaches.is_empty(),
+        Checker::from_events(&builder.history.events)
+            .violations
+            .is_empty(),
         "the task is gone 40 s after the response"
     );
     let mut builder = cancelled();
@@ -347,7 +361,11 @@
             builder.assert_only(Rule::Forgotten);
         } else {
             builder.add(What::Ends);
-            assert!(Checker::of(&builder.history.events).breaches.is_empty());
+            assert!(
+                Checker::from_events(&builder.history.events)
+                    .violations
+                    .is_empty()
+            );
         }
     }
 }
@@ -403,7 +421,11 @@
         node: "n2".into(),
     });
     builder.add(What::Ends);
-    assert!(Checker::of(&builder.history.events).breaches.is_empty());
+    assert!(
+        Checker::from_events(&builder.history.events)
+            .violations
+            .is_empty()
+    );
     let mut builder = HistoryBuilder::new();
     builder.at(1).accepted(job("wk-000001", 1));
     builder.at(2).on("vm-1", "wk-000001/0");
@@ -500,7 +522,7 @@
         why: "returned".into(),
         cost: 0.9,
     });
-    let a = aims::count(&builder.history.events);
+    let a = measurements::measure(&builder.history.events);
     let got: Vec<(f64, bool)> = a.reached.iter().map(|r| (r.got, r.met)).collect();
     assert_eq!(got[0], (0.5, true), "one of two tasks within 5 s");
     assert_eq!(got[1], (1.0, true));
@@ -582,7 +604,7 @@
     let asked = Some(half);
     let starved = |mut builder: HistoryBuilder| {
         builder.add(What::Ends);
-        let all = Checker::of(&builder.history.events).breaches;
+        let all = Checker::from_events(&builder.history.events).violations;
         let all = all.into_iter().filter(|b| b.rule == Rule::Starved);
         all.map(|b| b.to_string()).collect::<Vec<_>>()
     };
@@ -640,7 +662,11 @@
     builder.at(3).on("vm-1", "wk-000001/0");
     builder.at(9).off("vm-1", "wk-000001/0", Off::Done, 6.0);
     builder.at(9).on("vm-2", "wk-000002/0").add(What::Ends);
-    assert!(Checker::of(&builder.history.events).breaches.is_empty());
+    assert!(
+        Checker::from_events(&builder.history.events)
+            .violations
+            .is_empty()
+    );
 }
 
 /// A user is told at 10 s that the job is cancelled. Until `cancel_s` later, jobs that need it,
@@ -670,7 +696,11 @@
         .at(12 + cancel_s)
         .poll("wk-000003", State::Cancelled);
     builder.add(What::Ends);
-    assert!(Checker::of(&builder.history.events).breaches.is_empty());
+    assert!(
+        Checker::from_events(&builder.history.events)
+            .violations
+            .is_empty()
+    );
     let mut builder = scenario();
     builder.at(11 + cancel_s).poll("wk-000003", State::Queued);
     let message = builder.assert_only(Rule::Orphaned);
@@ -721,8 +751,8 @@
         }
     }
     builder.at(900).add(What::Ends);
-    let checker = Checker::of(&builder.history.events);
-    let messages: Vec<String> = checker.breaches.iter().map(|b| b.to_string()).collect();
+    let checker = Checker::from_events(&builder.history.events);
+    let messages: Vec<String> = checker.violations.iter().map(|b| b.to_string()).collect();
     let starved: Vec<&String> = messages
         .iter()
         .filter(|b| b.starts_with("starved"))
--- a/crates/checker/tests/event_sequences.rs
+++ b/crates/checker/tests/event_sequences.rs
@@ -3,7 +3,7 @@
 //! days.
 
 use cherrywood_checker::history::{Ask, Facts, Job, MachineType, Off, State, Team};
-use cherrywood_checker::{Breach, Checker, Failure, History, Rule, What};
+use cherrywood_checker::{Checker, Failure, History, Rule, Violation, What};
 
 const CANCEL_S: f64 = 40.0;
 
@@ -167,24 +167,24 @@
 
     fn checked(&mut self) -> Checker {
         self.add(What::Ends);
-        Checker::of(&self.history.events)
+        Checker::from_events(&self.history.events)
     }
 
-    fn breaches(&mut self) -> Vec<Breach> {
-        self.checked().breaches
+    fn violations(&mut self) -> Vec<Violation> {
+        self.checked().violations
     }
 
     /// Asserts that there is exactly one violation, of this rule, and returns it.
-    fn assert_only(&mut self, rule: Rule) -> Breach {
-        let breaches = self.breaches();
-        let rules: Vec<Rule> = breaches.iter().map(|b| b.rule).collect();
-        assert_eq!(rules, [rule], "{breaches:#?}");
-        breaches.into_iter().next().unwrap()
+    fn assert_only(&mut self, rule: Rule) -> Violation {
+        let violations = self.violations();
+        let rules: Vec<Rule> = violations.iter().map(|b| b.rule).collect();
+        assert_eq!(rules, [rule], "{violations:#?}");
+        violations.into_iter().next().unwrap()
     }
 
     fn assert_no_violation(&mut self) {
-        let breaches = self.breaches();
-        assert!(breaches.is_empty(), "{breaches:#?}");
+        let violations = self.violations();
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
@@ -207,12 +207,12 @@
 fn a_job_left_waiting_for_90_s_beside_free_capacity_is_named_with_the_machine() {
     let mut builder = one_machine_with_running_task(2.0);
     builder.at(10).accepted(job("wk-000001", 1));
-    let breach = builder.at(101).assert_only(Rule::LeftWaiting);
+    let violation = builder.at(101).assert_only(Rule::LeftWaiting);
     assert_eq!(
-        (breach.what.as_str(), breach.place.as_str()),
+        (violation.what.as_str(), violation.place.as_str()),
         ("wk-000001", "vm-1")
     );
-    assert_eq!(breach.since_ms, 10_000);
+    assert_eq!(violation.since_ms, 10_000);
     let mut builder = one_machine_with_running_task(2.0);
     builder.at(10).accepted(job("wk-000001", 1));
     builder.at(99).assert_no_violation();
@@ -285,8 +285,8 @@
     builder.at(2).accepted(job("wk-000002", 1)).at(300);
     builder.assert_no_violation();
     builder.off("vm-1", "wk-000001/0", Off::Done);
-    let breach = builder.at(391).assert_only(Rule::LeftWaiting);
-    assert_eq!(breach.since_ms, 300_000);
+    let violation = builder.at(391).assert_only(Rule::LeftWaiting);
+    assert_eq!(violation.since_ms, 300_000);
     // The user no longer wants the job.
     let mut builder = one_machine_with_running_task(2.0);
     builder.at(10).accepted(job("wk-000001", 1));
@@ -314,11 +314,11 @@
     builder.at(10).accepted(job("wk-000001", 1));
     builder.at(120).fault(true).at(130).fault(false);
     let checker = builder.at(200).checked();
-    assert!(checker.breaches.is_empty(), "{:?}", checker.breaches);
+    assert!(checker.violations.is_empty(), "{:?}", checker.violations);
     assert_eq!(checker.earlier_waits()[0].job, "wk-000001");
     // Once the fault is over, the time starts again.
-    let breach = builder.at(221).assert_only(Rule::LeftWaiting);
-    assert_eq!(breach.since_ms, 130_000);
+    let violation = builder.at(221).assert_only(Rule::LeftWaiting);
+    assert_eq!(violation.since_ms, 130_000);
 }
 
 #[test]
@@ -357,7 +357,7 @@
         .on("vm-1", "wk-000001/0");
     builder.at(15).off("vm-1", "wk-000001/0", Off::Stopped);
     let checker = builder.checked();
-    assert!(checker.breaches.is_empty(), "{:?}", checker.breaches);
+    assert!(checker.violations.is_empty(), "{:?}", checker.violations);
     assert_eq!(checker.starts_after_cancel(), 1);
     // Nothing delayed the command.
     let mut builder = one_machine_with_running_task(1.0);
@@ -367,9 +367,9 @@
         .at(12)
         .cancelled("wk-000001");
     builder.at(30).starts("vm-1", "wk-000001/0");
-    let breach = builder.assert_only(Rule::StartedCancelled);
+    let violation = builder.assert_only(Rule::StartedCancelled);
     assert_eq!(
-        (breach.what.as_str(), breach.since_ms),
+        (violation.what.as_str(), violation.since_ms),
         ("wk-000001/0", 12_000)
     );
     // A fault may have delayed it.
@@ -407,9 +407,9 @@
         builder
     };
     hung(61).assert_no_violation();
-    let breach = hung(63).assert_only(Rule::RanCancelled);
+    let violation = hung(63).assert_only(Rule::RanCancelled);
     assert_eq!(
-        (breach.what.as_str(), breach.since_ms),
+        (violation.what.as_str(), violation.since_ms),
         ("wk-000001/0", 21_000)
     );
     // So does a task that starts again after the machine has resumed.
@@ -453,8 +453,8 @@
         let text = format!("{odd:?}");
         let mut builder = one_machine_with_running_task(4.0);
         builder.at(10).accepted(odd.clone()).at(20);
-        let breach = builder.assert_only(Rule::AcceptedImpossible);
-        assert_eq!(breach.what, "wk-000001", "{text}");
+        let violation = builder.assert_only(Rule::AcceptedImpossible);
+        assert_eq!(violation.what, "wk-000001", "{text}");
         let mut builder = one_machine_with_running_task(4.0);
         builder.at(10).add(What::Submitted { job: odd });
         builder
@@ -466,10 +466,10 @@
         job: "wk-000001".into(),
         field: "crew".into(),
     });
-    let breach = builder
+    let violation = builder
         .accepted(plain())
         .assert_only(Rule::AcceptedImpossible);
-    assert!(breach.why.contains("lacks crew"), "{breach}");
+    assert!(violation.why.contains("lacks crew"), "{violation}");
     // Also if the history has no submission of the job.
     let mut builder = one_machine_with_running_task(4.0);
     builder.at(10).add(What::LacksField {
@@ -554,8 +554,11 @@
         builder
     };
     failing_requests(80, 11).assert_no_violation();
-    let breaches = failing_requests(90, 11).breaches();
-    let named: Vec<_> = breaches.iter().map(|b| (b.rule, b.what.as_str())).collect();
+    let violations = failing_requests(90, 11).violations();
+    let named: Vec<_> = violations
+        .iter()
+        .map(|b| (b.rule, b.what.as_str()))
+        .collect();
     assert_eq!(
         named,
         [
@@ -642,7 +645,7 @@
     }
     let checker = builder.at(300).checked();
     assert_eq!(checker.failures, []);
-    assert_eq!(checker.breaches, []);
+    assert_eq!(checker.violations, []);
 }
 
 #[test]
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -237,7 +237,7 @@
 
     /// Rules broken so far.
     pub fn broken(&self) -> usize {
-        lock(&self.core).checker.breaches.len()
+        lock(&self.core).checker.violations.len()
     }
 
     /// Calls with the events so far; for those who watch.
--- a/crates/simulation/src/live.rs
+++ b/crates/simulation/src/live.rs
@@ -109,8 +109,8 @@
         let (submitted, broken, last_breach) = world.look(|h, j| {
             let is = |e: &&cherrywood_checker::Event| matches!(e.what, What::Submitted { .. });
             let submitted = h.events.iter().filter(is).count();
-            let last = j.breaches.last().map(ToString::to_string);
-            (submitted, j.breaches.len(), last)
+            let last = j.violations.last().map(ToString::to_string);
+            (submitted, j.violations.len(), last)
         });
         Model {
             scenario: world.scenario.name.clone(),
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -5,7 +5,8 @@
 use crate::processes::Processes;
 use cherrywood_checker::settle::{Settled, settle};
 use cherrywood_checker::{
-    Aims, Breach, Checker, Failure, GroupFigures, History, Least, Wait, What, aims,
+    Checker, Failure, GroupFigures, History, LeastServed, Measurements, Violation, Wait, What,
+    measurements,
 };
 use cherrywood_emulator::{Cloud, Nodes, StateHost, Troubles, Users, World};
 use cherrywood_node::node::NodeStatus;
@@ -74,8 +75,8 @@
     pub seed: u64,
     pub history: History,
     pub settled: BTreeMap<String, Settled>,
-    pub breaches: Vec<Breach>,
-    pub aims: Aims,
+    pub breaches: Vec<Violation>,
+    pub aims: Measurements,
     /// Why the operators would count the day as failed.
     pub failures: Vec<Failure>,
     /// Figures of each class and team.
@@ -85,7 +86,7 @@
     /// Tasks that came onto machines after their job was told cancelled.
     pub starts_after_cancel: u64,
     /// Who was served least, if the scenario asks.
-    pub least: Option<Least>,
+    pub least: Option<LeastServed>,
     pub digest: String,
     /// s that the scenario lasted, and that playing it took.
     pub scenario_s: f64,
@@ -212,17 +213,17 @@
     let scenario_s = world.now_s();
     let (sizes, over_rate) = (state.size(), state.over_rate());
     let history = world.finish();
-    let checker = Checker::of(&history.events);
+    let checker = Checker::from_events(&history.events);
     Ok(Outcome {
         seed: options.seed,
         settled: settle(&history.events),
         earlier_waits: checker.earlier_waits(),
         starts_after_cancel: checker.starts_after_cancel(),
-        breaches: checker.breaches,
+        breaches: checker.violations,
         failures: checker.failures,
         groups: checker.groups,
         least: checker.least,
-        aims: aims::count(&history.events),
+        aims: measurements::measure(&history.events),
         digest: history.digest(),
         history,
         scenario_s,
