--- a/crates/checker/tests/event_sequences.rs
+++ b/crates/checker/tests/event_sequences.rs
@@ -189,7 +189,7 @@
 }
 
 /// A cluster of one machine of 4 CPUs, on which a task of another job runs all the time, so that
-/// the rule `nothing_ran` holds.
+/// the rule `nothing_ran` is not violated.
 fn one_machine_with_running_task(other_cpus: f64) -> HistoryBuilder {
     let mut builder = HistoryBuilder::new();
     builder.machine("vm-1", "a");
