--- a/crates/control/src/bitmap.rs
+++ b/crates/control/src/bitmap.rs
@@ -1,5 +1,5 @@
-//! A set of small numbers as a bitmap, kept in the state service as base64: the finished tasks
-//! of a job, or the machines that have an image.
+//! A set of small integers as a bitmap, stored in the key-value store as base64: the finished
+//! tasks of a job, or the machines that have an image.
 
 use base64::Engine as _;
 
@@ -18,7 +18,7 @@
             .is_some_and(|b| b & (1 << (i % 8)) != 0)
     }
 
-    /// Sets bit `i`; true if it was not set before.
+    /// Sets bit `i`; returns whether the bit was not set before.
     pub fn set(&mut self, i: u32) -> bool {
         if self.get(i) {
             return false;
@@ -32,28 +32,29 @@
         true
     }
 
-    /// How many bits are set.
+    /// Returns the number of bits that are set.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// The whole bitmap as base64 without padding.
+    /// Encodes the whole bitmap as base64 without padding.
     pub fn to_base64(&self) -> String {
         base64::engine::general_purpose::STANDARD_NO_PAD.encode(&self.bytes)
     }
 
-    /// The bytes of chunk `n`, if the bitmap is cut into chunks of `size` bytes; None past the end.
+    /// Returns the bytes of chunk `n` of the bitmap split into chunks of `size` bytes; None past
+    /// the end.
     pub fn chunk(&self, n: usize, size: usize) -> Option<&[u8]> {
         let from = n * size;
         (from < self.bytes.len()).then(|| &self.bytes[from..self.bytes.len().min(from + size)])
     }
 
-    /// The bytes of a chunk as base64 without padding.
+    /// Encodes the bytes of a chunk as base64 without padding.
     pub fn encode_base64(bytes: &[u8]) -> String {
         base64::engine::general_purpose::STANDARD_NO_PAD.encode(bytes)
     }
 
-    /// Sets the bits that these bytes hold; their first bit is bit `first` here.
+    /// Sets the bits that are set in `bytes`, whose first bit is bit `first` of this bitmap.
     pub fn union_bytes(&mut self, bytes: &[u8], first: u32) {
         for (at, byte) in bytes.iter().enumerate().filter(|(_, byte)| **byte != 0) {
             for bit in (0..8).filter(|bit| byte & (1 << bit) != 0) {
@@ -62,15 +63,15 @@
         }
     }
 
-    /// Sets the bits that a base64 text holds; its first bit is bit `first` here. Bits at
-    /// `limit` and beyond are dropped.
+    /// Sets the bits that are set in a base64 text, whose first bit is bit `first` of this bitmap.
+    /// Bits at `limit` and beyond are dropped.
     pub fn union_base64(&mut self, text: &str, first: u32, limit: u32) {
         let part = Bitmap::from_base64(text, limit.saturating_sub(first));
         self.union_bytes(&part.bytes, first);
     }
 
-    /// Reads a base64 text; one that can't be decoded is read as empty. Bits at `limit` and
-    /// beyond are dropped.
+    /// Decodes a base64 text; a text that can't be decoded gives an empty bitmap. Bits at `limit`
+    /// and beyond are dropped.
     pub fn from_base64(text: &str, limit: u32) -> Bitmap {
         let mut map = Bitmap::default();
         if let Ok(bytes) = base64::engine::general_purpose::STANDARD_NO_PAD.decode(text) {
--- a/crates/control/src/leader/admitting.rs
+++ b/crates/control/src/leader/admitting.rs
@@ -1,4 +1,4 @@
-//! What the leader knows that admission needs: expected work, backlog and the fleet's
+//! The leader's inputs to admission control: expected work, backlog and the fleet's
 //! throughput; and the tenant classes that are under-served.
 
 use super::*;
@@ -10,12 +10,12 @@
 use limits::admission as bounds;
 
 impl Leader {
-    /// Expected CPU seconds of a whole job.
+    /// Returns the expected CPU seconds of a whole job.
     pub(super) fn expected_work(&self, spec: &Submission) -> f64 {
         work(spec, self.predictor.median_s(&spec.predictor_key()))
     }
 
-    /// Recomputes the admission table; Some if it changed enough to be published.
+    /// Recomputes the admission table; returns it if it changed enough to be published.
     pub fn publish_admission_table(
         &mut self,
         refused: Vec<RefusedJob>,
@@ -27,18 +27,18 @@
             .then(|| self.admission.table())
     }
 
-    /// The newest admission table.
+    /// Returns the newest admission table.
     pub fn admission_table(&self) -> &AdmissionTable {
         self.admission.table()
     }
 
-    /// The state of the admission controller, as it is kept for the next leader.
+    /// Returns the state of the admission controller as it is stored for the next leader.
     pub fn admission_value(&self) -> AdmissionValue {
         self.admission.stored_value()
     }
 
-    /// The cluster as admission must see it. Also records the CPUs that are up, which is why it
-    /// changes the leader.
+    /// Returns the state of the cluster that admission decides by. Also records the CPUs that are
+    /// up, which is why this takes the leader mutably.
     fn admission_view(&mut self, refused: Vec<RefusedJob>, now: f64) -> ClusterView {
         let (mut up, mut coming, mut standing, mut placed) = (0.0, 0.0, 0.0, 0.0);
         for m in self
@@ -73,7 +73,7 @@
             .filter(|j| !j.awaiting_dependencies && j.spec.kind != JobKind::Service)
         {
             let est = self.expected_run_s(job);
-            // Placed tasks are taken to be half done on average.
+            // Placed tasks are assumed to be half done on average.
             let tasks = f64::from(job.remaining_tasks()) + f64::from(job.placement_count) / 2.0;
             let work = tasks * job.spec.cpus * est;
             *backlog.entry(job.tenant_class).or_default() += work;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Tenant classes that got less than their share, the least served first.
+    /// Returns the tenant classes that got less than their share, the least served first.
     pub(super) fn under_served_classes(&self, now: f64) -> Vec<TenantClassId> {
         if !self.settings.policy.admission.floors {
             return Vec::new();
@@ -148,9 +148,10 @@
         under_served(standing.collect(), bounds::UNDER_SERVED_SHARE)
     }
 
-    /// s after which a job that isn't done counts as overdue. A job that runs for long may wait
-    /// for long, unless an objective says otherwise: without that, guests' tasks of 300 s were
-    /// placed before urgent ones because none of their jobs was done after 90 s.
+    /// Returns the seconds after which a job that isn't done counts as overdue. A job with a long
+    /// run time may wait for long, unless an objective says otherwise: without this rule, guests'
+    /// tasks of 300 s were placed before urgent ones because none of their jobs was done after
+    /// 90 s.
     fn lateness_threshold_s(&self, job: &Job) -> f64 {
         let aimed = job
             .objectives
@@ -167,15 +168,16 @@
         time_s * bounds::LATE_AFTER_HORIZON_SHARE
     }
 
-    /// s in which a job of the class should be done: its objective, or else a default.
+    /// Returns the seconds within which a job of the class should be done: the class's objective,
+    /// or else a default.
     fn class_horizon_s(&self, class: &str) -> f64 {
         let aims = self.settings.objectives.iter();
         let own = aims.filter(|o| o.class == class && o.kind == "finished");
         horizon_or_default_s(own.map(|o| o.within_s).fold(0.0, f64::max))
     }
 
-    /// For the log: what is short, and each tenant class's jobs offered, admitted, waiting
-    /// and done.
+    /// Returns a summary for the log: the scarce resource, and the jobs offered, admitted, waiting
+    /// and done of each tenant class.
     pub(super) fn admission_summary(&self) -> String {
         let mut waiting: BTreeMap<TenantClassId, usize> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| !j.awaiting_dependencies) {
@@ -213,7 +215,7 @@
     }
 }
 
-/// The bound of an objective, s; the default where there is none (0).
+/// Returns the bound of an objective, s; the default if there is none (0).
 fn horizon_or_default_s(within_s: f64) -> f64 {
     if within_s > 0.0 {
         within_s
@@ -222,7 +224,7 @@
     }
 }
 
-/// Expected CPU seconds of a whole job, from the learned median of its key or, without
+/// Returns the expected CPU seconds of a whole job, from the learned median of its key or, without
 /// one, its owner's estimate.
 pub fn work(spec: &Submission, median: Option<f64>) -> f64 {
     let run_s = match spec.kind {
@@ -232,8 +234,8 @@
     spec.cpus * f64::from(spec.tasks) * run_s
 }
 
-/// Expected CPU seconds of a whole job as other controllers compute it, from the medians in the
-/// admission table.
+/// Returns the expected CPU seconds of a whole job as other controllers compute them, from the
+/// medians in the admission table.
 pub fn work_by_table(table: &AdmissionTable, spec: &Submission) -> f64 {
     let key = stable_hash(&spec.predictor_key());
     let medians = &table.median_runtimes;
--- a/crates/control/src/leader/autoscaler/demand.rs
+++ b/crates/control/src/leader/autoscaler/demand.rs
@@ -1,4 +1,4 @@
-//! How many CPUs placed and pending work wants.
+//! Demand for CPUs of placed and pending work.
 
 use crate::leader::quota_headroom::QuotaHeadroom;
 use crate::leader::{Job, Leader};
@@ -6,13 +6,13 @@
 use cherrywood_wire::user::JobKind;
 use std::collections::HashSet;
 
-/// What machines are needed for.
+/// The work that needs machines.
 pub(in crate::leader) struct FleetDemand<'a> {
-    /// Of all work.
+    /// Demand of all work.
     pub(in crate::leader) all: CpuDemand,
-    /// Without best-effort work.
+    /// Demand of all work except best-effort work.
     pub(in crate::leader) prioritized: CpuDemand,
-    /// The first pending job of the highest priority: it decides which machines are
+    /// The first pending job of the highest priority: this job decides which machines are
     /// rented. Jobs that need other machines get them once they are the first.
     pub(in crate::leader) first_pending: Option<&'a Job>,
 }
@@ -32,7 +32,7 @@
 }
 
 impl Leader {
-    /// What machines are needed for now.
+    /// Returns the current demand for machines.
     pub(in crate::leader) fn fleet_demand(&self) -> FleetDemand<'_> {
         let headroom = self.quota_headroom_by_team();
         let mut demand = self.placed_demand(&headroom);
@@ -46,12 +46,12 @@
             if !headroom[team].admits(&job.spec) {
                 continue;
             }
-            // A suspect job is tried one task at a time, whatever is pending of it.
+            // A suspect job is tried one task at a time, however many of its tasks are pending.
             let runnable = match job.is_suspect() {
                 true => u32::from(probed.insert(range.job)),
                 false => range.len(),
             };
-            // What the limit on accelerators keeps from running needs no machine.
+            // Tasks that the limit on accelerators keeps from running need no machine.
             let tasks = gpu_headroom[team].take_gpus(&job.spec, f64::from(runnable));
             if tasks > 0.0 {
                 demand.add(job, team, tasks, self.expected_run_s(job));
@@ -60,7 +60,7 @@
         demand
     }
 
-    /// The demand of what is placed, with nothing pending.
+    /// Returns the demand of the placed tasks, without pending ones.
     fn placed_demand(&self, headroom: &[QuotaHeadroom]) -> FleetDemand<'_> {
         let teams = headroom.iter().map(|headroom| TeamDemand {
             headroom_cpus: headroom.cpus(),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// CPUs of a machine of the type; none if the type isn't known.
+    /// Returns the CPUs of a machine of the type; 0 if the type isn't known.
     pub(in crate::leader) fn cpus_of(&self, machine_type: &str) -> f64 {
         self.machine_type(machine_type).map_or(0.0, |t| t.cpus)
     }
@@ -91,7 +91,7 @@
     if job.spec.kind == JobKind::Array {
         demand.teams[team].add_tasks(job.spec.cpus, tasks, run_s);
     } else {
-        // Gangs and services need all of their machines at once: their CPUs count in full, as
+        // Gangs and services need all of their machines at once, so their CPUs count in full, as
         // if they were placed.
         demand.placed_cpus += job.spec.cpus * tasks;
     }
--- a/crates/control/src/leader/autoscaler/inventory.rs
+++ b/crates/control/src/leader/autoscaler/inventory.rs
@@ -1,5 +1,5 @@
-//! Which machines exist, by the cloud's answers and lists, and which tasks are gone because
-//! every lease of their machine has expired.
+//! The machines that exist, according to the cloud's responses and lists, and the tasks that are
+//! lost because every lease of their machine has expired.
 
 use crate::leader::{FreeContext, FreeReason, Leader, Machine, PlacementStage};
 use cherrywood_limits as limits;
@@ -7,23 +7,23 @@
 use std::collections::HashSet;
 use tracing::info;
 
-/// s in addition to twice the lag of the lists. A machine that was first listed longer ago than
-/// both is missing from a list only if it is gone.
+/// Seconds added to twice the lag of the lists. A machine that was first listed longer ago than
+/// this sum is missing from a list only if it is gone.
 const LIST_MARGIN_S: f64 = 1.0;
 
 impl Leader {
-    /// The machine types that the cloud offers, with their prices.
+    /// Sets the machine types that the cloud offers, with their prices.
     pub fn set_machine_types(&mut self, machine_types: Vec<MachineType>) {
         self.machine_types = machine_types;
     }
 
-    /// The machine type of this name, if the cloud offers it.
+    /// Returns the machine type of this name, if the cloud offers it.
     pub(in crate::leader) fn machine_type(&self, name: &str) -> Option<&MachineType> {
         self.machine_types.iter().find(|t| t.name == name)
     }
 
-    /// Takes the cloud's complete list of machines, which is up to the settings'
-    /// `list_lag_s` old.
+    /// Applies the cloud's complete list of machines, which is up to `list_lag_s` of the
+    /// settings old.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: f64) {
         for listed in list {
             if !self.deleted_machines.contains_key(&listed.name) {
@@ -52,7 +52,7 @@
         machine.first_listed_at.get_or_insert(now);
         machine.created_at = machine.created_at.min(created_at);
         machine.listed_as_booting = listed.state == ListedMachineState::Booting;
-        // Its first heartbeat tells its own address.
+        // From the first heartbeat on, the worker's own address is used.
         if let Some(address) = &listed.address
             && !machine.up
         {
@@ -68,9 +68,9 @@
         }
     }
 
-    /// Machines that the cloud has taken: once listed, a machine stays listed until it
-    /// is gone. But a list may be older than the one before it, so a machine must also
-    /// be silent.
+    /// Marks machines that the cloud has reclaimed for deletion. Once listed, a machine stays
+    /// listed until it is gone. But a list may be older than the one before it, so a machine must
+    /// also be silent.
     fn delete_unlisted_machines(&mut self, listed: &HashSet<&str>, now: f64) {
         let max_listing_age_s = 2.0 * self.settings.cloud.list_lag_s + LIST_MARGIN_S;
         let max_silent_s = limits::MISSED_HEARTBEATS_MAX * self.settings.workers.report_s;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The cloud answered a rental: the names of the new machines, or None for "no
+    /// Applies the cloud's response to a rental: the names of the new machines, or None for "no
     /// capacity".
     pub fn rental_answered(&mut self, rental: &RentalRequest, names: Option<&[String]>, now: f64) {
         let names = names.unwrap_or_default();
@@ -116,8 +116,7 @@
         }
     }
 
-    /// The cloud answered a deletion with success: the machines and all tasks on them
-    /// are gone.
+    /// Applies a successful deletion by the cloud: the machines and all tasks on them are gone.
     pub fn machines_deleted(&mut self, names: &[String], now: f64) {
         for name in names {
             let Some(mut machine) = self.machines.remove(name) else {
@@ -131,8 +130,8 @@
         }
     }
 
-    /// Frees the placements of silent machines all of whose leases have expired: nothing runs
-    /// there.
+    /// Frees the placements of silent machines all of whose leases have expired: no task runs
+    /// there any more.
     pub(super) fn free_expired_placements(&mut self, now: f64) {
         let gone_after_s = self.timing.tasks_gone_after_s();
         let expired: Vec<String> = self
--- a/crates/control/src/leader/autoscaler/machine_health.rs
+++ b/crates/control/src/leader/autoscaler/machine_health.rs
@@ -1,4 +1,4 @@
-//! Which machines are deleted: those that are lost, never came up, or are not needed.
+//! Selection of the machines to delete: those that are lost, never came up, or are not needed.
 
 use super::overdue_boots::boot_s;
 use crate::leader::{Leader, Machine};
@@ -6,24 +6,24 @@
 use std::fmt;
 use tracing::info;
 
-/// Silent machines up to which a network partition isn't suspected, however few
-/// machines there are.
+/// Number of silent machines up to which no network partition is suspected, however few machines
+/// there are.
 const MIN_SILENT_FOR_PARTITION: f64 = 2.0;
 
 /// Why a machine is deleted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum DeletionReason {
-    /// The time that its spot notice gave is over, and it is silent.
+    /// The time given by the machine's spot notice is over, and the machine is silent.
     Reclaimed,
-    /// It sends heartbeats, and no response reached it for longer than its lease.
+    /// The machine sends heartbeats, but no response has reached it for longer than its lease.
     CommandsUnacknowledged,
-    /// It is silent for longer than its lease.
+    /// The machine has been silent for longer than its lease.
     Silent,
-    /// It didn't come up in several times its type's boot time.
+    /// The machine didn't come up within several times the boot time of its type.
     NeverCameUp,
-    /// It is cordoned or was emptied, and nothing runs there any more.
+    /// The machine is cordoned or was drained, and no task runs there any more.
     Emptied,
-    /// Nothing has run there for a while, and nothing is pending for it.
+    /// No task has run on the machine for a while, and no pending work may use it.
     Idle,
 }
 
@@ -42,19 +42,19 @@
     }
 }
 
-/// What the decisions on all machines have in common.
+/// State of the fleet that the decisions on all machines depend on.
 #[derive(Debug, Clone, Copy)]
 struct FleetState {
-    /// So many machines are silent at once that the network is the likelier cause.
+    /// Whether so many machines are silent at once that the network is the likelier cause.
     partition_suspected: bool,
-    /// Is any work pending?
+    /// Whether any work is pending.
     work_pending: bool,
-    /// Is work pending that is not best effort?
+    /// Whether work is pending that is not best effort.
     prioritized_work_pending: bool,
 }
 
 impl Leader {
-    /// Marks the machines that are to be deleted.
+    /// Marks the machines to delete.
     pub(super) fn mark_machines_to_delete(&mut self, now: f64) {
         let state = FleetState {
             partition_suspected: self.is_partition_suspected(now),
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Are so many machines silent, or out of reach of commands, that the network is
-    /// the likelier cause? Partitions heal.
+    /// Whether so many machines are silent, or out of reach of commands, that the network is the
+    /// likelier cause. Silence doesn't count as loss then, since partitions heal.
     fn is_partition_suspected(&self, now: f64) -> bool {
         let silent_s = |machine: &Machine| {
             let unacknowledged_since = machine.commands_unacknowledged_since;
@@ -104,8 +104,8 @@
         silent as f64 > most.max(MIN_SILENT_FOR_PARTITION)
     }
 
-    /// Is work pending that may run? Suspect jobs don't count: they are tried one task
-    /// at a time.
+    /// Whether work is pending that may run. Suspect jobs don't count: they are tried one task at
+    /// a time.
     fn is_work_pending(&self, with_best_effort: bool) -> bool {
         self.pending_queue.ranges().any(|range| {
             let job = self.jobs.get(&range.job);
@@ -123,7 +123,7 @@
             .or_else(|| unused_reason(machine, state, now))
     }
 
-    /// Why the machine counts as lost, if it does.
+    /// Returns why the machine counts as lost, if it does.
     fn loss_reason(
         &self,
         machine: &Machine,
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Is the boot of a machine that isn't up so late that the machine is given back? A new
-    /// leader gives each machine the time of one boot to send its first heartbeat.
+    /// Whether the boot of a machine that isn't up is so late that the machine is returned. A new
+    /// leader allows each machine the time of one boot to send its first heartbeat.
     fn boot_failed(&self, machine: &Machine, now: f64) -> bool {
         let boot_s = boot_s(&self.machine_types, &machine.machine_type);
         let patience_s = boot_s * limits::BOOT_GIVE_UP_FACTOR + limits::BOOT_GIVE_UP_EXTRA_S;
@@ -159,7 +159,7 @@
     }
 }
 
-/// Why a machine that is up isn't needed, if it isn't.
+/// Returns why a machine that is up isn't needed, if it isn't.
 fn unused_reason(machine: &Machine, state: FleetState, now: f64) -> Option<DeletionReason> {
     if !machine.up || !machine.placements.is_empty() || machine.spot_notice_s.is_some() {
         return None;
--- a/crates/control/src/leader/autoscaler/mod.rs
+++ b/crates/control/src/leader/autoscaler/mod.rs
@@ -1,13 +1,13 @@
-//! The autoscaler: how many machines there should be, which are rented and which are
-//! given back.
+//! The autoscaler: decides how many machines there should be, which are rented and which are
+//! returned.
 //!
-//! The leader runs it about once a second ([`Leader::autoscale`]). It compares the CPUs
-//! that placed and pending work wants with those of the machines that there are, and
-//! returns requests for the cloud. Requests are answered later, by
-//! [`Leader::rental_answered`] and [`Leader::machines_deleted`]; machines that come and
-//! go by themselves show in the cloud's list ([`Leader::apply_machine_list`]).
+//! The leader runs the autoscaler about once a second ([`Leader::autoscale`]). Each run
+//! compares the CPUs that placed and pending work demands with those of the existing machines,
+//! and returns requests to the cloud. The responses are applied later by
+//! [`Leader::rental_answered`] and [`Leader::machines_deleted`]; machines that appear or
+//! disappear without a request show in the cloud's list ([`Leader::apply_machine_list`]).
 //!
-//! [`Autoscaler`] is what this module alone keeps between two runs; a new leader starts
+//! [`Autoscaler`] is the state that this module alone keeps between runs; a new leader starts
 //! without it.
 
 use super::{CloudCall, Leader};
@@ -22,7 +22,7 @@
 mod scale_in;
 mod scale_out;
 
-/// Instances that are rented alike.
+/// Machines of one type, zone and price model, which are rented alike.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct InstancePool {
     machine_type: String,
@@ -30,23 +30,23 @@
     spot: bool,
 }
 
-/// A machine type in a zone; its spot and on-demand instances are counted together.
+/// A machine type in a zone; its spot and on-demand machines are counted together.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct BootPool {
     machine_type: String,
     zone: String,
 }
 
-/// CPUs wanted by work that is not best effort, each as an exponential average over
-/// another time: a burst or a lull that passes sooner isn't worth a boot.
+/// CPUs wanted by work that is not best effort, as exponential moving averages with different
+/// time constants: a shorter burst or lull isn't worth a boot.
 #[derive(Debug, Clone, Copy)]
 struct DemandAverages {
-    /// Over `limits::SCALE_OUT_AVERAGE_S`, before on-demand machines are rented.
+    /// Average over `limits::SCALE_OUT_AVERAGE_S`; governs the rental of on-demand machines.
     for_rental_cpus: f64,
-    /// Over `limits::SCALE_IN_AVERAGE_S`, before machines are given back.
+    /// Average over `limits::SCALE_IN_AVERAGE_S`; governs the return of machines.
     for_return_cpus: f64,
-    /// Over `limits::BEST_EFFORT_HOLD_AVERAGE_S`, before on-demand machines are given back that
-    /// best-effort work can use meanwhile.
+    /// Average over `limits::BEST_EFFORT_HOLD_AVERAGE_S`; governs the return of on-demand
+    /// machines that best-effort work can use meanwhile.
     for_hold_cpus: f64,
     updated_at: f64,
 }
@@ -73,27 +73,27 @@
     }
 }
 
-/// What the autoscaler remembers from run to run.
+/// State of the autoscaler that persists between runs.
 #[derive(Debug)]
 pub(super) struct Autoscaler {
-    /// Rentals asked for in this term.
+    /// Number of rentals requested in this term.
     rental_requests: u64,
-    /// Pools that had less capacity than was asked for, and until when they are left
-    /// alone.
+    /// Pools that had less capacity than was requested, and the time until which nothing is
+    /// rented from them.
     refused_until: HashMap<InstancePool, f64>,
-    /// None until demand is first seen.
+    /// None until the first observation of the demand.
     demand_averages: Option<DemandAverages>,
-    /// Pools where most of the machines that should be up are not.
+    /// Pools where most of the machines that should be up are not up.
     overdue_boot_pools: BTreeSet<BootPool>,
-    /// When a rental last brought at least half of the machines that it asked for, and at least
+    /// When a rental last yielded at least half of the machines that it requested, and at least
     /// `limits::admission::SCALE_OUT_MACHINES_MIN`. Until the first such rental: the start of the
-    /// term, or minus infinity if an earlier leader knew that no more machines can be had.
+    /// term, or minus infinity if an earlier leader knew that the cloud has no more machines.
     grew_at: f64,
 }
 
 impl Autoscaler {
-    /// `fleet_at_capacity`: an earlier leader knew that no more machines can be had, and
-    /// that is taken to be so still.
+    /// Returns the state of a new leader. `fleet_at_capacity`: an earlier leader knew that the
+    /// cloud has no more machines, which is assumed to still hold.
     pub(super) fn new(fleet_at_capacity: bool, now: f64) -> Autoscaler {
         Autoscaler {
             rental_requests: 0,
@@ -108,13 +108,13 @@
         }
     }
 
-    /// When a rental last brought machines in numbers, on the leader's clock.
+    /// Returns when a rental last yielded many machines, on the leader's clock.
     pub(super) fn grew_at(&self) -> f64 {
         self.grew_at
     }
 
-    /// Takes the CPUs wanted now into the averages. An empty fleet starts from what is
-    /// wanted now.
+    /// Updates the averages with the CPUs wanted now. If no CPUs were wanted before, the averages
+    /// start at this value.
     fn observe_demand(&mut self, wanted_cpus: f64, now: f64) -> DemandAverages {
         let mut averages = self
             .demand_averages
@@ -125,19 +125,19 @@
         averages
     }
 
-    /// CPUs that have been wanted for a while, and still are.
+    /// Returns the CPUs that have been wanted for a while and still are.
     fn lasting_demand_cpus(&self, wanted_cpus: f64) -> f64 {
         self.demand_averages
             .map_or(wanted_cpus, |a| a.for_rental_cpus.min(wanted_cpus))
     }
 
-    /// A name for a rental that no other has: the term never repeats.
+    /// Returns a request ID that no other rental has: the term never repeats.
     fn next_request_id(&mut self, term: u64) -> String {
         self.rental_requests += 1;
         format!("r-{term}-{}", self.rental_requests)
     }
 
-    /// Learns from the answer to a rental that brought so many machines.
+    /// Records the response to a rental, which yielded so many machines.
     fn record_rental(&mut self, rental: &RentalRequest, machines: usize, now: f64) {
         let many = (rental.count / 2).max(limits::admission::SCALE_OUT_MACHINES_MIN);
         if machines as u32 >= many {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Refusals are remembered for a while only.
+    /// Removes refusals that are too old to count.
     fn forget_old_refusals(&mut self, now: f64) {
         self.refused_until.retain(|_, until| *until > now);
     }
@@ -172,8 +172,8 @@
 }
 
 impl Leader {
-    /// Frees what time alone has proved gone, and decides which machines are asked for
-    /// and given back.
+    /// Frees placements whose leases have expired, and decides which machines are rented and
+    /// returned.
     pub fn autoscale(&mut self, now: f64) -> Vec<CloudCall> {
         self.free_expired_placements(now);
         let demand = self.fleet_demand();
@@ -196,7 +196,7 @@
         calls
     }
 
-    /// The machines that are to be deleted, as many as one run asks for.
+    /// Returns deletion requests for the marked machines, as many as one run may send.
     fn deletion_calls(&self) -> Vec<CloudCall> {
         let deleting = self.machines.iter().filter(|(_, machine)| machine.deleting);
         let names: Vec<String> = deleting
--- a/crates/control/src/leader/autoscaler/overdue_boots.rs
+++ b/crates/control/src/leader/autoscaler/overdue_boots.rs
@@ -1,4 +1,4 @@
-//! Overdue boots: where machines that should be up are not.
+//! Detection of overdue boots: pools where machines that should be up are not.
 
 use super::BootPool;
 use crate::leader::{Leader, Machine};
@@ -7,39 +7,39 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// Boot time of a machine whose type isn't known, s.
+/// Assumed boot time of a machine whose type isn't known, s.
 const UNKNOWN_BOOT_S: f64 = 60.0;
 
-/// Machines of one pool that should be up by now.
+/// Counts of the machines of one pool that should be up by now.
 #[derive(Debug, Clone, Copy, Default)]
 struct BootCount {
     due: u32,
-    /// Of these, machines that are not up.
+    /// Due machines that are not up.
     overdue: u32,
-    /// Of the latter, machines that were not counted as such before.
+    /// Overdue machines that were not counted as overdue before.
     newly_overdue: u32,
 }
 
 impl BootCount {
-    /// Are there enough machines to tell, and most of them not up?
+    /// Whether there are enough machines to judge and most of them are not up.
     fn mostly_overdue(self) -> bool {
         self.due >= limits::BOOT_EVIDENCE_MACHINES_MIN && self.overdue * 2 > self.due
     }
 }
 
-/// s from the rental of a machine until it should be up.
+/// Returns the seconds from the rental of a machine until it should be up.
 pub(super) fn boot_s(machine_types: &[MachineType], machine_type: &str) -> f64 {
     let known = machine_types.iter().find(|t| t.name == machine_type);
     known.map_or(UNKNOWN_BOOT_S, |t| t.boot_s)
 }
 
-/// Is it known when the machine's boot began, and that it hadn't been up before?
+/// Whether it is known when the machine's boot began and that the machine had not been up before.
 ///
-/// That this leader has had no heartbeat of a machine is not yet an overdue boot: an earlier
-/// leader may have rented it, and it may have been up for long. When such machines counted,
-/// on a day of the operators' kind some 300 boots were called overdue after each failover, and
-/// healthy zones were avoided. So the cloud's list must call it booting, or this leader must
-/// have rented it itself.
+/// A machine without a heartbeat to this leader isn't necessarily an overdue boot: an earlier
+/// leader may have rented it, and it may have been up for long. Counting such machines reported
+/// some 300 overdue boots after each failover under the operators' daily load, and healthy zones
+/// were avoided. So the cloud's list must show the machine as booting, or this leader must have
+/// rented it itself.
 fn boot_was_observed(machine: &Machine) -> bool {
     let booting = machine.listed_as_booting && !machine.known_from_ledger;
     machine.rented_this_term || machine.first_listed_at.is_some() && (machine.up || booting)
@@ -47,8 +47,8 @@
 
 impl Leader {
     /// Finds the pools where machines should be up by now and most are not. Machines that are not
-    /// due yet don't count, so that a pool that has recovered is used again as soon as its late
-    /// machines are up or were given back.
+    /// due yet don't count, so that a pool that has recovered is used again as soon as its overdue
+    /// machines are up or were returned.
     pub(super) fn update_overdue_boots(&mut self, now: f64) {
         let mut counts: BTreeMap<BootPool, BootCount> = BTreeMap::new();
         for machine in self.machines.values_mut() {
--- a/crates/control/src/leader/autoscaler/scale_in.rs
+++ b/crates/control/src/leader/autoscaler/scale_in.rs
@@ -1,5 +1,5 @@
-//! Scale in: emptying the machines that cost most for what they do, while the others
-//! carry what is wanted.
+//! Scale in: drains the machines that cost most for the work that they do, while the others
+//! suffice for the demand.
 
 use super::DemandAverages;
 use crate::leader::{Leader, Machine};
@@ -7,30 +7,30 @@
 use cherrywood_wire::user::JobKind;
 use tracing::info;
 
-/// Least CPUs that a machine is taken to have where it is divided by them.
+/// Lower bound on the CPUs of a machine where they are used as a divisor.
 const MIN_MACHINE_CPUS: f64 = 0.001;
 
-/// What an empty machine wastes, as a share of its price. A little more than all of it:
-/// so of two full machines the dearer one counts as the more wasteful.
+/// The share of its price that an empty machine wastes. Slightly above 1, so that of two full
+/// machines the more expensive one counts as the more wasteful.
 const EMPTY_MACHINE_WASTE: f64 = 1.05;
 
-/// CPUs for which machines are kept.
+/// The CPUs for which machines are kept.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WantedCpus {
-    /// Of all machines, while a spot machine is looked at: they serve all work.
+    /// CPUs wanted of all machines when a spot machine is considered: all work may use those.
     spot: f64,
-    /// Of all machines, while an on-demand machine is looked at: those are kept for
+    /// CPUs wanted of all machines when an on-demand machine is considered: those are kept for
     /// work that is not best effort.
     on_demand: f64,
 }
 
 impl WantedCpus {
-    /// From the CPUs that all work and prioritized work wants now, and the averages of the
-    /// latter.
+    /// Derives the wanted CPUs from the current demand of all work and of prioritized work, and
+    /// from the averages of the latter.
     pub(super) fn new(all: f64, prioritized: f64, averages: DemandAverages) -> WantedCpus {
         let kept = prioritized.max(averages.for_return_cpus);
-        // With best-effort work to use them, on-demand machines are held through lulls
-        // that are shorter than what returning them and booting others would cost.
+        // If best-effort work can use them, on-demand machines are held through lulls that are
+        // too short to pay for returning them and booting others.
         let best_effort = all - prioritized;
         WantedCpus {
             spot: all.max(averages.for_return_cpus),
@@ -47,25 +47,25 @@
     }
 }
 
-/// A machine that is up, as scaling in looks at it.
+/// The properties of a machine that is up which scale in considers.
 struct FleetMachine {
     name: String,
     cpus: f64,
     spot: bool,
-    /// Its price for each CPU, the more the emptier it is.
+    /// The machine's price per CPU, weighted by the share of the machine that is unused.
     waste: f64,
 }
 
 impl Leader {
-    /// Empties the machines that cost most for what they do, while the others suffice for the CPUs
-    /// that are wanted; stops emptying machines when the others don't suffice.
+    /// Drains the machines that cost most for the work that they do, while the others suffice for
+    /// the wanted CPUs; stops draining machines when the others don't suffice.
     pub(super) fn scale_in(&mut self, wanted: WantedCpus, now: f64) {
         let mut active_cpus = 0.0;
         let mut scaling_in = Vec::new();
         let mut removable = Vec::new();
         for (name, machine) in &self.machines {
-            // A machine that can't be reached takes no work, so it doesn't count: when it did,
-            // another machine was returned for it although work was pending.
+            // A machine that can't be reached accepts no work, so it doesn't count: counting it
+            // had another machine returned although work was pending.
             let reachable = machine.is_reachable(now, &self.settings);
             if !machine.up || machine.cordoned || machine.deleting || !reachable {
                 continue;
@@ -86,8 +86,8 @@
         self.empty_machines(&removable, wanted, active_cpus);
     }
 
-    /// Takes machines back that are being emptied, the least wasteful first, until the
-    /// active ones carry what is wanted. Returns the CPUs that are active then.
+    /// Stops draining machines, the least wasteful first, until the active machines suffice for
+    /// the wanted CPUs. Returns the resulting active CPUs.
     fn take_back(
         &mut self,
         scaling_in: &[FleetMachine],
@@ -106,8 +106,8 @@
         active_cpus
     }
 
-    /// Begins to empty machines, the most wasteful first, while the others carry what
-    /// is wanted and have some to spare.
+    /// Starts to drain machines, the most wasteful first, while the others suffice for the wanted
+    /// CPUs with some to spare.
     fn empty_machines(
         &mut self,
         removable: &[FleetMachine],
@@ -151,7 +151,7 @@
         }
     }
 
-    /// May all that runs there go on elsewhere?
+    /// Whether every task placed on the machine may run on another machine instead.
     fn can_be_emptied(&self, machine: &Machine) -> bool {
         machine.placements.iter().all(|placement| {
             let job = placement.job.and_then(|index| self.jobs.get(&index));
--- a/crates/control/src/leader/autoscaler/scale_out.rs
+++ b/crates/control/src/leader/autoscaler/scale_out.rs
@@ -1,5 +1,4 @@
-//! Scale out: renting machines for pending work, and for a job that no machine which is
-//! there could take.
+//! Scale out: rents machines for pending work, and for a job that no existing machine could run.
 
 use super::InstancePool;
 use crate::leader::scheduler::{machine_allowed, pool_allowed, zone_task_limit};
@@ -12,7 +11,7 @@
 use tracing::info;
 
 impl Leader {
-    /// Rentals for what is pending in all or, if that needs none, for a stranded job.
+    /// Returns rentals for the total demand or, if that needs none, for an unplaceable job.
     pub(super) fn scale_out(&mut self, now: f64) -> Vec<CloudCall> {
         let rentals = self.rentals_for_demand(now);
         if rentals.is_empty() {
@@ -22,8 +21,8 @@
         }
     }
 
-    /// Machines for the CPUs that are wanted and not there, as the first pending job
-    /// allows them.
+    /// Returns rentals for the CPUs that are wanted beyond the existing ones, of machines that the
+    /// first pending job may use.
     fn rentals_for_demand(&mut self, now: f64) -> Vec<CloudCall> {
         let demand = self.fleet_demand();
         let Some(spec) = demand.first_pending.map(|job| job.spec.clone()) else {
@@ -37,8 +36,8 @@
         if shortage_cpus <= 0.0 {
             return Vec::new();
         }
-        // On-demand machines are rented only for what spot machines can't be had for, and only if
-        // the demand has lasted for a while.
+        // On-demand machines are rented only for demand that spot machines can't cover, and only
+        // if the demand has lasted for a while.
         let offers = self.offers_for(&spec, now);
         let is_expensive = |offer: &InstanceOffer| spec.allow_spot && !offer.spot;
         let (expensive, cheap): (Vec<_>, Vec<_>) = offers.into_iter().partition(is_expensive);
@@ -63,7 +62,7 @@
         rentals
     }
 
-    /// CPUs of the machines, up or coming, that tasks of the submission may use.
+    /// Returns the CPUs of the machines, up or booting, that tasks of the submission may use.
     fn usable_cpus(&self, spec: &Submission) -> f64 {
         self.machines
             .values()
@@ -72,7 +71,7 @@
             .sum()
     }
 
-    /// A machine for a job that no machine which is there could take.
+    /// Returns the rental of one machine for a job that no existing machine could run.
     fn rental_for_stranded_job(&mut self, now: f64) -> Option<CloudCall> {
         let job = self.stranded_job(now)?;
         let spec = job.spec.clone();
@@ -88,9 +87,9 @@
         Some(self.rental(&offers[order.offer], 1))
     }
 
-    /// A job that has been pending for a while and that no machine which is there could
-    /// take. What is wanted is counted in CPUs, of which there may be enough of the
-    /// wrong kind, or too few to be worth an on-demand machine: it would wait for good.
+    /// Returns a job that has been pending for a while and that no existing machine could run.
+    /// Demand is counted in CPUs, of which there may be enough of the wrong kind, or the job may
+    /// want too few to be worth an on-demand machine; without this the job would wait forever.
     fn stranded_job(&self, now: f64) -> Option<&Job> {
         let ranges = self.pending_queue.ranges();
         let jobs = ranges.filter_map(|range| self.jobs.get(&range.job));
@@ -112,20 +111,20 @@
         })
     }
 
-    /// Could the machine take a task of the job, now or when others end?
+    /// Whether the machine could run a task of the job, now or when other tasks end.
     fn could_take(&self, name: &str, machine: &Machine, job: &Job) -> bool {
         !machine.cordoned
             && !machine.deleting
             && machine_allowed(&job.spec, machine)
             && !job.failed_on.contains_key(name)
             && zone_task_limit(job, &machine.zone) > 0
-            // Placed tasks of the job may never end, so for the next one only free room counts.
+            // The job's placed tasks may never end, so for its next task only free room counts.
             && (!job.is_placed() || self.has_room(&job.spec, machine))
     }
 
-    /// Do tasks of the job that never end decide in which zones its other tasks may run? Room in
-    /// other zones is of no use to those: without this, a service that had lost its machines in a
-    /// zone never got others there.
+    /// Whether tasks of the job that never end determine the zones in which its other tasks may
+    /// run. Room in other zones is of no use to the latter: without this check, a service that had
+    /// lost its machines in a zone never got new ones there.
     fn is_bound_to_zones(&self, job: &Job) -> bool {
         let is_bound = job.spec.single_zone || job.spec.spread_over_zones;
         if !is_bound || job.spec.kind == JobKind::Array {
@@ -136,14 +135,14 @@
         headroom.is_some_and(|headroom| headroom.admits(&job.spec))
     }
 
-    /// Has the machine room for one more task of the submission?
+    /// Whether the machine has room for one more task of the submission.
     fn has_room(&self, spec: &Submission, machine: &Machine) -> bool {
         let needed = machine.used_resources() + task_request(spec);
         self.machine_type(&machine.machine_type)
             .is_some_and(|machine_type| needed.fits_in(machine_capacity(machine_type)))
     }
 
-    /// The orders as rentals.
+    /// Returns the cloud requests for the orders.
     fn rentals(
         &mut self,
         offers: &[InstanceOffer],
@@ -165,7 +164,7 @@
         })
     }
 
-    /// Where a machine for tasks of the submission can be rented, as far as is known.
+    /// Returns the known offers of machines that tasks of the submission may use.
     fn offers_for(&mut self, spec: &Submission, now: f64) -> Vec<InstanceOffer> {
         self.autoscaler.forget_old_refusals(now);
         let request = task_request(spec);
@@ -185,8 +184,8 @@
         offers
     }
 
-    /// What the cloud offers of a machine type in a zone; None if it doesn't, if the
-    /// policy forbids it, or if it was refused of late.
+    /// Returns the cloud's offer of a machine type in a zone; None if there is no such offer, if
+    /// the policy forbids it, or if a rental from the pool was refused recently.
     fn offer(&self, machine_type: &MachineType, zone: &str, spot: bool) -> Option<InstanceOffer> {
         if self.settings.policy.cheap_only && !spot {
             return None;
--- a/crates/control/src/leader/preemption.rs
+++ b/crates/control/src/leader/preemption.rs
@@ -1,10 +1,10 @@
 //! Preemption of best-effort work.
 //!
 //! Work of the lowest priority is best effort unless an objective counts its class or a job
-//! of a higher priority depends on it. Beyond its team's guarantee it leaves room for new
-//! jobs, and is told to save a checkpoint and end when other work finds no room (the
-//! protocol's first reason to stop a task). Lowest-priority work that an objective counts is
-//! served last as well, but is never preempted.
+//! of a higher priority depends on it. Beyond its team's guarantee, best-effort work leaves
+//! room for new jobs, and is told to save a checkpoint and end when other work finds no room
+//! (the protocol's first reason to stop a task). Lowest-priority work that an objective counts
+//! is also served last, but is never preempted.
 
 use super::quota_headroom::prioritized_pending;
 use super::scheduler::machine_allowed;
@@ -15,16 +15,17 @@
 
 /// Pending work that lacks room.
 struct Shortage {
-    /// CPUs that it may use and that neither are free nor come free.
+    /// CPUs that the work may use and that are neither free nor about to become free.
     cpus: f64,
     jobs: BTreeSet<JobIndex>,
-    /// The least CPUs and memory that one of its tasks asks for.
+    /// The least CPUs that any of the tasks requests.
     least_cpus: f64,
+    /// The least memory that any of the tasks requests.
     least_memory_gb: f64,
 }
 
 impl Shortage {
-    /// Could one of the tasks use what is free on a machine?
+    /// Whether the resources that are free on a machine may suffice for one of the tasks.
     fn can_use(&self, free: Resources) -> bool {
         free.cpus + ROUNDING >= self.least_cpus && free.memory_gb + ROUNDING >= self.least_memory_gb
     }
@@ -33,14 +34,14 @@
 /// A machine with best-effort tasks that may be preempted.
 struct PreemptibleMachine {
     name: String,
-    /// Has it the image of a job that lacks room?
+    /// Whether the machine has the image of a job that lacks room.
     has_wanted_image: bool,
     /// CPUs of the tasks that may be preempted.
     preemptible_cpus: f64,
 }
 
-/// May the placement be told to end for other work, at little loss? It saves its
-/// progress, or doesn't run yet.
+/// Whether the placement may be evicted for other work at little loss: it is best effort, and the
+/// task saves its progress or doesn't run yet.
 fn is_preemptible(jobs: &JobTable, placement: &Placement) -> bool {
     let job = placement.job.and_then(|index| jobs.get(&index));
     let saves_progress = job.is_some_and(|job| job.spec.checkpoint_interval_s > 0.0);
@@ -51,13 +52,13 @@
 }
 
 impl Leader {
-    /// CPUs of all placements that are not best effort.
+    /// Returns the CPUs of all placements that are not best effort.
     pub(super) fn prioritized_cpus(&self) -> f64 {
         let machines = self.machines.values();
         machines.map(|m| m.placements.sums().prioritized_cpus).sum()
     }
 
-    /// Marks as many best-effort tasks to be stopped as other pending work needs.
+    /// Marks as many best-effort tasks for eviction as other pending work needs.
     pub(super) fn preempt_best_effort(&mut self, now: f64) {
         let Some(mut shortage) = self.prioritized_shortage(now) else {
             return;
@@ -71,7 +72,7 @@
                 continue;
             };
             let sums = machine.placements.sums();
-            // Room that is free, or will be because evictions were requested.
+            // Resources that are free, and CPUs that requested evictions will free.
             let free = machine_capacity(machine_type) - machine.used_resources();
             if !machine.scaling_in && shortage.can_use(free) {
                 shortage.cpus -= free.cpus;
@@ -81,7 +82,7 @@
                 preemptible.extend(self.preemptible_machine(name, machine, &shortage, now));
             }
         }
-        // Machines with a wanted image first, then those where most CPUs come free.
+        // Machines with a wanted image first, then those with the most preemptible CPUs.
         preemptible.sort_by(|a, b| {
             let by_image = b.has_wanted_image.cmp(&a.has_wanted_image);
             by_image.then(b.preemptible_cpus.total_cmp(&a.preemptible_cpus))
@@ -89,7 +90,7 @@
         self.request_evictions(&preemptible, shortage.cpus);
     }
 
-    /// Pending work other than best-effort work; None if there is none.
+    /// Returns the pending work other than best-effort work; None if there is none.
     fn prioritized_shortage(&self, now: f64) -> Option<Shortage> {
         let headroom = self.quota_headroom_by_team();
         let pending = prioritized_pending(&self.pending_queue, &self.jobs, headroom, now);
@@ -109,8 +110,8 @@
         (shortage.cpus > 0.0).then_some(shortage)
     }
 
-    /// The machine, if preempting its best-effort tasks makes room for work that lacks
-    /// it.
+    /// Returns the machine if preempting its best-effort tasks makes room for work that lacks
+    /// room.
     fn preemptible_machine(
         &self,
         name: &str,
@@ -137,7 +138,7 @@
         })
     }
 
-    /// Is an image of a job that lacks room cached on the machine?
+    /// Whether the image of a job that lacks room is cached on the machine.
     fn has_image_of(&self, machine: &Machine, shortage: &Shortage, now: f64) -> bool {
         let wants = |image: u64| {
             let mut jobs = shortage.jobs.iter().filter_map(|job| self.jobs.get(job));
@@ -147,8 +148,8 @@
         images.any(|image| image.ready_at <= now && wants(image.id))
     }
 
-    /// Marks tasks until so many CPUs come free. Of a team only what it uses beyond its
-    /// guarantee may go.
+    /// Marks tasks for eviction until their CPUs cover the shortage. Only the CPUs that a team
+    /// uses beyond its guarantee may be taken from it.
     fn request_evictions(&mut self, machines: &[PreemptibleMachine], mut shortage_cpus: f64) {
         let teams = self.settings.teams.iter();
         let mut beyond_guarantee_cpus: HashMap<String, f64> = teams
--- a/crates/control/src/leader/quota.rs
+++ b/crates/control/src/leader/quota.rs
@@ -1,28 +1,28 @@
-//! What each team uses of its quota, kept in step with the placements.
+//! Each team's usage of its quota, updated with every placement and release.
 
 use super::job_table::JobTable;
 use super::placement::Placement;
 use crate::resources::Resources;
 use std::collections::HashMap;
 
-/// Usage by team. Changed by [`record_placement`] and [`record_release`] alone.
+/// Usage by team. Only [`record_placement`] and [`record_release`] change it.
 #[derive(Debug, Default)]
 pub(super) struct QuotaUsage {
     by_team: HashMap<String, Resources>,
 }
 
 impl QuotaUsage {
-    /// What a team uses; nothing if no placement of it was ever counted.
+    /// Returns the resources that a team uses; zero if none of its placements was ever counted.
     pub(super) fn of(&self, team: &str) -> Resources {
         self.by_team.get(team).copied().unwrap_or_default()
     }
 
-    /// All teams that were ever counted, in no order.
+    /// Iterates over the usage of all teams that ever had a placement counted, in no order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&String, &Resources)> {
         self.by_team.iter()
     }
 
-    /// Adds what the placement holds, `sign` times.
+    /// Adds the placement's resources multiplied by `sign`.
     fn add(&mut self, p: &Placement, sign: f64) {
         let usage = match self.by_team.get_mut(&p.team) {
             Some(usage) => usage,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Counts a placement that appears: for its team's quota and for its job.
+/// Counts a new placement for its team's quota and for its job.
 pub(super) fn record_placement(
     usage: &mut QuotaUsage,
     jobs: &mut JobTable,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Takes a placement that was freed out of the same counts.
+/// Removes a freed placement from the counts of its team's quota and of its job.
 pub(super) fn record_release(
     usage: &mut QuotaUsage,
     jobs: &mut JobTable,
--- a/crates/control/src/leader/quota_headroom.rs
+++ b/crates/control/src/leader/quota_headroom.rs
@@ -1,4 +1,4 @@
-//! What teams' quotas leave for more tasks, in CPUs and in accelerators.
+//! Quota headroom: the CPUs and accelerators that teams' quotas leave for more tasks.
 
 use super::{JobIndex, JobTable, Leader};
 use crate::Team;
@@ -7,7 +7,7 @@
 use cherrywood_sched::resources::ROUNDING;
 use cherrywood_wire::user::Submission;
 
-/// What the team is guaranteed. Quotas don't limit memory.
+/// Returns the resources that the team is guaranteed. Quotas don't limit memory.
 pub(super) fn guarantee_of(team: &Team) -> Resources {
     Resources {
         cpus: team.cpus,
@@ -16,7 +16,7 @@
     }
 }
 
-/// What the team may use at most. Quotas don't limit memory.
+/// Returns the most resources that the team may use. Quotas don't limit memory.
 pub(super) fn limit_of(team: &Team) -> Resources {
     Resources {
         cpus: team.cpus_max,
@@ -25,41 +25,42 @@
     }
 }
 
-/// What a team may still use up to its limit. Counts of tasks are fractional here:
-/// they estimate demand, and place nothing.
+/// The resources that a team may still use up to its limit. Task counts are fractional here,
+/// since they estimate demand and don't lead to placements.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct QuotaHeadroom {
-    /// Below zero if the team is over its limit.
+    /// Remaining resources; below zero if the team is over its limit.
     left: Resources,
 }
 
 impl QuotaHeadroom {
-    /// What the team's limit leaves beside what is `used`.
+    /// Returns the team's limit less the resources in use.
     pub(super) fn new(team: &Team, used: Resources) -> QuotaHeadroom {
         QuotaHeadroom {
             left: limit_of(team) - used,
         }
     }
 
-    /// CPUs left, none if the team is over its limit.
+    /// Returns the CPUs left; 0 if the team is over its limit.
     pub(super) fn cpus(self) -> f64 {
         self.left.cpus.max(0.0)
     }
 
-    /// May one more task of the submission run?
+    /// Whether one more task of the submission may run.
     pub(super) fn admits(self, spec: &Submission) -> bool {
         self.left.cpus >= spec.cpus && self.gpu_task_count(spec) >= 1.0
     }
 
-    /// How many of `tasks` the limit on accelerators lets run at once. Their accelerators are
-    /// taken off the headroom.
+    /// Returns how many of `tasks` the limit on accelerators lets run at once, and subtracts their
+    /// accelerators from the headroom.
     pub(super) fn take_gpus(&mut self, spec: &Submission, tasks: f64) -> f64 {
         let tasks = tasks.min(self.gpu_task_count(spec));
         self.left.gpus -= tasks * spec.gpus;
         tasks
     }
 
-    /// CPUs that `tasks` may use at once. These and their accelerators are taken off the headroom.
+    /// Returns the CPUs that `tasks` may use at once, and subtracts these and the tasks'
+    /// accelerators from the headroom.
     pub(super) fn take(&mut self, spec: &Submission, tasks: f64) -> f64 {
         let by_cpus = if spec.cpus > 0.0 {
             self.left.cpus / spec.cpus
@@ -72,7 +73,7 @@
         cpus
     }
 
-    /// Tasks that the limit on accelerators lets run.
+    /// Returns how many tasks of the submission the limit on accelerators lets run.
     fn gpu_task_count(self, spec: &Submission) -> f64 {
         if spec.gpus > 0.0 {
             ((self.left.gpus + ROUNDING) / spec.gpus).floor().max(0.0)
@@ -82,18 +83,16 @@
     }
 }
 
-/// Pending work of a job, and what its team's limit lets it use.
+/// Pending work of a job, within its team's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct PendingDemand {
-    /// The job.
     pub(super) job: JobIndex,
-    /// CPUs that its pending tasks may use at once.
+    /// CPUs that the job's pending tasks may use at once.
     pub(super) cpus: f64,
 }
 
-/// The pending work that is not best effort, range by range, within each team's
-/// headroom. Jobs that pause after failures, or are tried one task at a time, don't
-/// count.
+/// Returns the pending work that is not best effort, range by range, within each team's headroom.
+/// Jobs that pause after failures, or are tried one task at a time, don't count.
 pub(super) fn prioritized_pending(
     queue: &MultiLevelQueue<JobIndex>,
     jobs: &JobTable,
@@ -124,12 +123,12 @@
 }
 
 impl Leader {
-    /// What the team's placements use.
+    /// Returns the resources that the team's placements use.
     pub(super) fn quota_used(&self, team: &str) -> Resources {
         self.quota_usage.of(team)
     }
 
-    /// Each team's headroom, in the order of the settings.
+    /// Returns each team's headroom, in the order of the settings.
     pub(super) fn quota_headroom_by_team(&self) -> Vec<QuotaHeadroom> {
         let teams = self.settings.teams.iter();
         teams
--- a/crates/control/src/leader/scheduler/candidates.rs
+++ b/crates/control/src/leader/scheduler/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines that can take work in one pass, with what they have free.
+//! The machines that accept work in one pass, and their free resources.
 
 use crate::Settings;
 use crate::leader::{CachedImage, Job, Machine};
@@ -7,22 +7,22 @@
 use cherrywood_wire::cloud::MachineType;
 use std::collections::BTreeMap;
 
-/// Least rate at which a machine is taken to fetch images, GB a second: rates are
-/// divisors.
+/// Lower bound on the assumed image fetch rate of a machine, in GB per second: rates are used
+/// as divisors.
 const MIN_FETCH_GB_PER_S: f64 = 0.001;
 
-/// A machine that takes work now.
+/// A machine that accepts work now.
 pub(super) struct CandidateMachine<'a> {
     pub(super) name: &'a str,
     pub(super) machine: &'a mut Machine,
     pub(super) machine_type: &'a MachineType,
-    /// What its placements leave, this pass's included.
+    /// Resources that the machine's placements leave free, those of this pass included.
     pub(super) free: Resources,
-    /// When its image fetches are over, this pass's included.
+    /// When the machine's image fetches end, those of this pass included.
     pub(super) fetches_done_at: f64,
 }
 
-/// All machines that take work and have room for a task of the smallest pending
+/// Returns all machines that accept work and have room for a task of the smallest pending
 /// request, in the order of their names.
 pub(super) fn candidate_machines<'a>(
     machines: &'a mut BTreeMap<String, Machine>,
@@ -61,7 +61,7 @@
 }
 
 impl CandidateMachine<'_> {
-    /// s until the job's image could be there: 0 if it is cached.
+    /// Returns the seconds until the job's image can be on the machine: 0 if it is cached.
     pub(super) fn image_wait_s(&self, job: &Job, now: f64) -> f64 {
         let mut images = self.machine.cached_images.iter();
         match images.find(|image| image.id == job.image_id) {
@@ -70,20 +70,20 @@
         }
     }
 
-    /// Takes room for tasks of the job that ask for `request` in all.
+    /// Reserves room for tasks of the job that request `request` in total.
     pub(super) fn reserve(&mut self, job: &Job, request: Resources, now: f64) {
         self.use_image(job, now);
         self.machine.idle_since = now;
         self.free -= request;
     }
 
-    /// Has it no CPU or no memory left?
+    /// Whether the machine has no CPU or no memory left.
     pub(super) fn is_full(&self) -> bool {
         self.free.cpus <= ROUNDING || self.free.memory_gb <= ROUNDING
     }
 
-    /// Notes that the job's image is used, or that it will be fetched after those
-    /// that are being fetched already.
+    /// Records that the job's image is used, or that it will be fetched after the images that
+    /// are already being fetched.
     fn use_image(&mut self, job: &Job, now: f64) {
         let images = &mut self.machine.cached_images;
         if let Some(image) = images.iter_mut().find(|image| image.id == job.image_id) {
@@ -100,8 +100,8 @@
         self.evict_images();
     }
 
-    /// The machine keeps the most recently used images that its cache holds, and
-    /// always one.
+    /// Evicts the least recently used images until the others fit in the machine's cache; one
+    /// image always stays.
     fn evict_images(&mut self) {
         let images = &mut self.machine.cached_images;
         let cache_gb = self.machine_type.cache_gb;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// s that it takes to fetch so much.
+    /// Returns the seconds that the machine takes to fetch `size_gb`.
     fn fetch_s(&self, size_gb: f64) -> f64 {
         size_gb / self.machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
     }
--- a/crates/control/src/leader/scheduler/commit.rs
+++ b/crates/control/src/leader/scheduler/commit.rs
@@ -1,5 +1,5 @@
-//! What placing a group of tasks changes: the machine's room and images, the team's
-//! usage, the job, and what the ledger must be told.
+//! State changes of placing a group of tasks: the machine's free resources and images, the
+//! team's usage, the job, and the machines that the ledger must record.
 
 use super::pass::PlacementPass;
 use super::pending::PendingJob;
@@ -10,7 +10,7 @@
 use std::ops::Range;
 
 impl PlacementPass<'_> {
-    /// An attempt number that was never given before.
+    /// Returns an attempt number that was never issued before.
     pub(super) fn next_attempt(&mut self) -> u64 {
         *self.tokens_issued += 1;
         (self.term << limits::TERM_SHIFT_BITS) | *self.tokens_issued
@@ -53,7 +53,7 @@
         let job_id = job.spec.id.clone();
         self.add_placements(candidate_index, &job_id, tasks, &template);
         // The smallest pending request may change during a pass, so only a machine without any
-        // CPU or memory left is dropped.
+        // CPU or any memory left is removed.
         if self.candidates[candidate_index].is_full() {
             self.candidates.swap_remove(candidate_index);
         }
@@ -81,7 +81,7 @@
     }
 }
 
-/// A placement of the job that no ledger entry holds yet, for a task still to be named.
+/// Returns a placement of the job that no ledger entry holds yet; the caller sets its task.
 fn planned_placement(index: JobIndex, job: &Job, now: f64) -> Placement {
     Placement {
         task_id: String::new(),
--- a/crates/control/src/leader/scheduler/constraints.rs
+++ b/crates/control/src/leader/scheduler/constraints.rs
@@ -1,10 +1,10 @@
-//! The rules of a submission that no placement may break: machine types, spot
-//! instances, and how its tasks share zones.
+//! Hard placement constraints of a submission: machine types, spot machines, and the
+//! distribution of its tasks over zones.
 
 use crate::leader::{Job, Machine};
 use cherrywood_wire::user::Submission;
 
-/// May tasks of the submission run on instances of this type, zone and price?
+/// Whether tasks of the submission may run on spot or on-demand machines of this type and zone.
 pub(in crate::leader) fn pool_allowed(
     spec: &Submission,
     machine_type: &str,
@@ -19,13 +19,13 @@
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
-/// May tasks of the submission run on this machine, room aside?
+/// Whether tasks of the submission may run on this machine, its free resources aside.
 pub(in crate::leader) fn machine_allowed(spec: &Submission, machine: &Machine) -> bool {
     pool_allowed(spec, &machine.machine_type, &machine.zone, machine.spot)
 }
 
-/// How many more tasks of the job its rules about zones allow in `zone`, given where
-/// all of its tasks may be.
+/// Returns how many more tasks of the job its zone constraints allow in `zone`, given all
+/// places where its tasks may be.
 pub(in crate::leader) fn zone_task_limit(job: &Job, zone: &str) -> u32 {
     let placed_here = job.placements_by_zone.get(zone).copied().unwrap_or(0);
     if job.spec.single_zone && placed_here != job.placement_count {
--- a/crates/control/src/leader/scheduler/gangs.rs
+++ b/crates/control/src/leader/scheduler/gangs.rs
@@ -1,4 +1,4 @@
-//! Gang scheduling: jobs whose tasks run only all together.
+//! Gang scheduling: jobs whose tasks run only all at once.
 
 use super::pass::{PlacementPass, QuotaBound};
 use super::pending::PendingJob;
@@ -9,9 +9,9 @@
 
 /// Where a gang can be placed as a whole.
 enum GangRoom {
-    /// In this zone.
+    /// On machines of this zone.
     Zone(String),
-    /// On machines of any zones.
+    /// On machines of any zone.
     AnyZone,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl PlacementPass<'_> {
-    /// Once there is room for all of a gang it is placed whole, before anything else can take the
+    /// Places all of a gang at once, if there is room for it, before other work can take the
     /// room. All of its tasks get the same attempt number, by which they find each other.
     pub(super) fn place_gang(&mut self, pending: usize) {
         let Some(room) = self.gang_room(&self.pending[pending]) else {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Where all missing tasks of a gang fit at once; None if nowhere.
+    /// Returns where all missing tasks of a gang fit at once; None if there is no such place.
     fn gang_room(&self, pending: &PendingJob) -> Option<GangRoom> {
         let job = self.jobs.get(&pending.job)?;
         let missing = job.remaining_tasks();
@@ -75,15 +75,15 @@
         (room >= u64::from(missing)).then_some(GangRoom::AnyZone)
     }
 
-    /// Tasks of the job that fit on the machines of each zone, no more than `most` on
-    /// each.
-    fn room_by_zone(&self, job: &Job, most: u32) -> BTreeMap<&str, u32> {
+    /// Returns how many tasks of the job fit on the machines of each zone, counting at most
+    /// `max_per_machine` on each machine.
+    fn room_by_zone(&self, job: &Job, max_per_machine: u32) -> BTreeMap<&str, u32> {
         let request = task_request(&job.spec);
         let mut room_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         for candidate in &self.candidates {
             if machine_allowed(&job.spec, candidate.machine) {
                 let room = room_by_zone.entry(&candidate.machine.zone).or_default();
-                let tasks = candidate.free.task_count(request).min(most);
+                let tasks = candidate.free.task_count(request).min(max_per_machine);
                 *room = room.saturating_add(tasks);
             }
         }
--- a/crates/control/src/leader/scheduler/groups.rs
+++ b/crates/control/src/leader/scheduler/groups.rs
@@ -1,5 +1,5 @@
-//! A range of pending tasks and the machine that suits it best: how many of the tasks
-//! go there, or why the job waits.
+//! Placement of a range of pending tasks on the best machine for it: how many of the tasks are
+//! placed there, or why the job waits.
 
 use super::candidates::CandidateMachine;
 use super::ordering::ServingOrder;
@@ -13,23 +13,23 @@
 use cherrywood_sched::queue::Selection;
 use cherrywood_wire::user::JobKind;
 
-/// Least CPUs that a machine is taken to have where it is divided by them.
+/// Lower bound on the CPUs of a machine where they are used as a divisor.
 const MIN_MACHINE_CPUS: f64 = 0.001;
 
-/// What a job does whose image isn't on the machine that suits it best.
+/// How to handle a job whose image isn't on the best machine for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ImageDecision {
-    /// The machine fetches it.
+    /// Place the job; the machine fetches the image.
     Fetch,
-    /// Jobs whose image is cached may go first.
+    /// Let jobs whose image is cached go first.
     YieldToCached,
-    /// It waits for the next pass.
+    /// Let the job wait for the next pass.
     Wait,
 }
 
 impl PlacementPass<'_> {
-    /// Places as many tasks of the range as the best machine takes, or marks the job
-    /// as one that has to wait.
+    /// Places as many tasks of the range as the best machine has room for, or marks the job as
+    /// waiting.
     pub(super) fn place_range(
         &mut self,
         pending: usize,
@@ -65,9 +65,9 @@
         }
     }
 
-    /// How many tasks at the beginning of the range need a placement. If the first ones
-    /// don't, because they are done or were found on a machine meanwhile, or the job
-    /// isn't known any more, they are taken off the queue and there is no answer.
+    /// Returns how many tasks at the beginning of the range need a placement. If the first ones
+    /// don't, because they are done or were found on a machine meanwhile, or because the job is
+    /// no longer known, they are removed from the queue and the result is None.
     fn available_tasks(&mut self, selection: &Selection<JobIndex>) -> Option<u32> {
         let Some(job) = self.jobs.get(&selection.job) else {
             self.queue.discard(selection, selection.task_count);
@@ -84,8 +84,8 @@
         Some(available.count() as u32)
     }
 
-    /// The machine on which a task of the job is placed now; None if the job has to wait, which
-    /// is then marked in its `PendingJob`.
+    /// Returns the machine on which a task of the job is placed now; None if the job has to
+    /// wait, which is then recorded in its `PendingJob`.
     fn machine_now(
         &mut self,
         pending: usize,
@@ -104,8 +104,8 @@
         None
     }
 
-    /// How many tasks of the job the machine, the rules about zones and the team's
-    /// quota have room for.
+    /// Returns how many tasks of the job the machine, the zone constraints and the team's quota
+    /// have room for.
     fn group_size(
         &self,
         pending: usize,
@@ -123,7 +123,7 @@
             .min(if single { 1 } else { u32::MAX })
     }
 
-    /// Does the best machine fetch the job's image, or does the job wait?
+    /// Decides whether the best machine fetches the job's image or the job waits.
     fn image_decision(
         &self,
         pending: usize,
@@ -150,10 +150,10 @@
             ServingOrder::CachedImage if self.may_be_passed(pending, selection.waiting_since) => {
                 ImageDecision::YieldToCached
             }
-            // A starving job's single task doesn't wait for images.
+            // The single task of a starving job doesn't wait for a machine that has the image.
             _ if self.mode.single_task => ImageDecision::Fetch,
-            // Tasks end all the time on machines that have the image: a short wait for
-            // room on one of them beats a fetch, unless no machine has it yet.
+            // Tasks end frequently on machines that have the image: a short wait for room on one
+            // of them is better than a fetch, unless no machine has the image yet.
             ServingOrder::Any
                 if at_hand
                     && waited_s
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Is the team near its limit, with a large part of the limit taken by tasks that wait for
-    /// images?
+    /// Whether the team is near its limit and tasks that wait for images take a large part of
+    /// the limit.
     fn is_quota_held_by_fetches(&self, team: usize) -> bool {
         let limit_cpus = self.settings.teams[team].cpus_max;
         let waiting_cpus = self.image_fetches.waiting_cpus_by_team[team];
@@ -175,7 +175,7 @@
             && waiting_cpus > limit_cpus * limits::SCARCE_TEAM_FETCHING_SHARE
     }
 
-    /// The machine that suits a task of the job best, in `zone` if one is given.
+    /// Returns the best machine for a task of the job, in `zone` if one is given.
     pub(super) fn best_machine(
         &mut self,
         pending: usize,
@@ -198,7 +198,8 @@
         choice
     }
 
-    /// Of the machines that take the job, the first of the lowest placement cost.
+    /// Returns the machine with the lowest placement cost among those that can take a task of
+    /// the job; the first one of equal cost.
     fn cheapest_machine(
         &self,
         job: &Job,
@@ -233,7 +234,7 @@
         cheapest.map(|(_, choice)| choice)
     }
 
-    /// May a task of the job go to the machine, and has it room for one?
+    /// Whether a task of the job may be placed on the machine and the machine has room for one.
     fn takes(&self, candidate: &CandidateMachine, job: &Job) -> bool {
         let machine = &*candidate.machine;
         let spec = &job.spec;
--- a/crates/control/src/leader/scheduler/minimum_shares.rs
+++ b/crates/control/src/leader/scheduler/minimum_shares.rs
@@ -1,4 +1,4 @@
-//! Minimum shares: what comes free goes in part to tenant classes that are
+//! Minimum shares: a part of the CPUs that come free goes to tenant classes that are
 //! under-served.
 
 use super::PassOutcome;
@@ -9,10 +9,10 @@
 use cherrywood_limits::admission as bounds;
 
 impl PlacementPass<'_> {
-    /// A part of the CPUs that come free, `credit_cpus`, goes to the classes that got
-    /// less than they were promised, whatever their priority: the least served first,
-    /// and within each the job with the least remaining work. Without it jobs of lower
-    /// priorities waited as long as higher ones kept coming (1 of 129 done).
+    /// Gives `credit_cpus`, a part of the CPUs that come free, to the classes that got less than
+    /// their promised share, whatever their priority: the least served class first, and within
+    /// each class the job with the least remaining work. Without this, jobs of lower priorities
+    /// waited for as long as jobs of higher ones kept arriving (1 of 129 done).
     pub(super) fn serve_under_served(&mut self, classes: &[TenantClassId], credit_cpus: f64) {
         let max_placed_cpus = self.placed_cpus() + credit_cpus;
         self.mode = ServingMode {
@@ -36,9 +36,9 @@
 }
 
 impl Leader {
-    /// CPUs that under-served classes may take in the next pass before others: their
-    /// share of what others took, less what they got themselves. No more is saved up
-    /// than a part of all machines.
+    /// Returns the CPUs that under-served classes may take in the next pass before others: their
+    /// share of the CPUs that others took, less the CPUs that they got themselves. The credit
+    /// that is carried over is at most a share of the CPUs of all machines.
     pub(super) fn next_under_served_credit_cpus(&self, outcome: &PassOutcome) -> f64 {
         let share = bounds::UNDER_SERVED_CPU_SHARE;
         let machines = self.machines.values();
--- a/crates/control/src/leader/scheduler/mod.rs
+++ b/crates/control/src/leader/scheduler/mod.rs
@@ -1,16 +1,16 @@
-//! Placement: which pending task goes to which machine.
+//! Placement: assigns pending tasks to machines.
 //!
-//! A pass goes over the pending queue and the machines with room. The tasks of a range
-//! are alike, so they are placed in groups: one search of the machines serves as many
-//! tasks as the best machine takes, and the virtual clock of their level is charged for each
-//! ([`cherrywood_sched::queue`]). The work of a pass depends on what is pending and on the
-//! machines that have room, not on all that runs.
+//! A pass iterates over the pending queue and the machines with room. The tasks of a range
+//! are identical, so they are placed in groups: one search of the machines places as many
+//! tasks as the best machine has room for, and the virtual clock of their level is charged for
+//! each task ([`cherrywood_sched::queue`]). The cost of a pass depends on the pending work and
+//! on the machines that have room, not on all running work.
 //!
-//! A pass serves, in this order: jobs that are starving ([`starvation`]), tenant classes
-//! that are under-served ([`minimum_shares`]), then all work within its team's guarantee
-//! and all work within its team's limit, each by priority ([`ordering`]). Best-effort
-//! work comes last and leaves some room. What still finds no room may then preempt
-//! best-effort tasks ([`super::preemption`]).
+//! A pass serves, in this order: starving jobs ([`starvation`]), under-served tenant classes
+//! ([`minimum_shares`]), then all work within its team's guarantee and all work within its
+//! team's limit, each by priority ([`ordering`]). Best-effort work is served last and leaves
+//! some room. Work that still finds no room may then preempt best-effort tasks
+//! ([`super::preemption`]).
 
 use super::{Job, Leader};
 use crate::resources::Resources;
@@ -35,20 +35,20 @@
 use candidates::candidate_machines;
 use pass::{PlacementPass, ServingMode};
 
-/// What placement remembers from pass to pass.
+/// State of placement that persists between passes.
 #[derive(Debug)]
 pub(super) struct SchedulerState {
     /// CPUs that under-served tenant classes may take in the next pass before others.
     under_served_credit_cpus: f64,
-    /// For each team in the order of the settings, when its limit last had no room for
-    /// a pending task.
+    /// For each team, in the order of the settings, when its limit last left no room for a
+    /// pending task.
     quota_refused_at: Vec<f64>,
-    /// Machines looked at in all passes: a measure of what placement costs.
+    /// Machines examined in all passes: a measure of the cost of placement.
     machines_examined: u64,
 }
 
 impl SchedulerState {
-    /// The state of a new leader, for so many teams in the settings.
+    /// Returns the state of a new leader whose settings have `team_count` teams.
     pub(super) fn new(team_count: usize) -> SchedulerState {
         SchedulerState {
             under_served_credit_cpus: 0.0,
@@ -58,28 +58,27 @@
     }
 }
 
-/// Images that some machine has, and the CPUs that wait for images to be fetched.
+/// Images that any machine has, and the CPUs that wait for image fetches.
 pub(super) struct ImageFetches {
-    /// For each team in the order of the settings, CPUs that are placed and don't run
-    /// yet.
+    /// For each team, in the order of the settings, the CPUs of placements that don't run yet.
     waiting_cpus_by_team: Vec<f64>,
-    /// Images on any machine.
+    /// IDs of the images that are on any machine.
     images_at_hand: HashSet<u64>,
 }
 
-/// What a pass has placed, as far as the next pass must know.
+/// The results of a pass that the next pass depends on.
 struct PassOutcome {
-    /// Teams whose limit had no room for a pending task of theirs.
+    /// Teams whose limit left no room for one of their pending tasks.
     limited_teams: BTreeSet<usize>,
     /// CPUs placed for under-served tenant classes.
     minimum_share_cpus: f64,
-    /// CPUs placed for all others, without the single tasks of starving jobs.
+    /// CPUs placed for all other work, except the single tasks of starving jobs.
     other_cpus: f64,
 }
 
 impl Leader {
-    /// Serves the pending queue: every task that can go somewhere is planned there, to
-    /// be written to the ledger and started.
+    /// Runs one pass over the pending queue: plans a placement for every task that fits on some
+    /// machine. Planned placements are then written to the ledger and started.
     pub fn place_pending(&mut self, now: f64) {
         self.derive_priorities(now);
         self.pending_queue.age(now);
@@ -100,12 +99,13 @@
         self.preempt_best_effort(now);
     }
 
-    /// Machines looked at in all passes of this leader: what placement costs, counted.
+    /// Returns the number of machines examined in all passes of this leader, a measure of the
+    /// cost of placement.
     pub fn machines_examined(&self) -> u64 {
         self.scheduler.machines_examined
     }
 
-    /// Tasks whose pause after a failure is over become pending again.
+    /// Makes tasks pending again whose delay after a failure is over.
     fn requeue_delayed_tasks(&mut self, now: f64) {
         let delayed = std::mem::take(&mut self.delayed_tasks);
         let (due, later): (Vec<_>, Vec<_>) = delayed.into_iter().partition(|d| d.0 <= now);
@@ -164,7 +164,8 @@
         )
     }
 
-    /// CPUs that each team has placed and not running, and the images on any machine.
+    /// Returns the CPUs that each team has placed but not running, and the images on any
+    /// machine.
     fn image_fetches(&self) -> ImageFetches {
         let teams = self.settings.teams.iter().enumerate();
         let team_index: HashMap<&str, usize> = teams
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Expected run time of a task of the job, s.
+    /// Returns the expected run time of a task of the job, s.
     pub(super) fn expected_run_s(&self, job: &Job) -> f64 {
         expected_run_s(self.predictor.median_s(&job.estimate_key), job)
     }
--- a/crates/control/src/leader/scheduler/ordering.rs
+++ b/crates/control/src/leader/scheduler/ordering.rs
@@ -1,4 +1,4 @@
-//! In which order pending work is served: by priority, then by objectives that are
+//! The order in which pending work is served: by priority, then by objectives that are
 //! about to be missed, then by the level clocks.
 
 use super::pass::{PlacementPass, QuotaBound, ServingMode};
@@ -7,29 +7,30 @@
 use cherrywood_limits as limits;
 use cherrywood_wire::user::Priority;
 
-/// How work of one priority is served, in this order.
+/// The successive orders in which work of one priority is served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ServingOrder {
-    /// Jobs about to miss an objective that they can still meet, least work first.
+    /// Jobs about to miss an objective that they can still meet, least remaining work first.
     ObjectiveAtRisk,
-    /// By the level clocks, jobs whose image is cached on a machine with room.
+    /// Jobs whose image is cached on a machine with room, by the level clocks.
     CachedImage,
-    /// By the level clocks.
+    /// All jobs, by the level clocks.
     Any,
 }
 
-/// How many ranges of each level of a band were looked at. During one serving nothing
-/// becomes eligible that wasn't, so what was passed over once is not looked at again.
+/// The number of ranges examined in each level of a band. While a band is served in one order,
+/// no range becomes eligible that was not, so a range that was skipped isn't examined again.
 type RangesExamined = [usize; limits::LEVELS];
 
 impl PlacementPass<'_> {
     /// Serves all pending work: work within its team's guarantee before work that borrows beyond
-    /// it, higher priorities before lower ones; among equals the level clocks decide. Before a
-    /// machine fetches an image, tasks of the same bound and priority whose image is cached
-    /// already may go first, for a bounded time.
+    /// the guarantee, higher priorities before lower ones; among equals the level clocks decide.
+    /// Before a machine fetches an image, tasks of the same bound and priority whose image is
+    /// already cached may go first, for a bounded time.
     ///
-    /// Borrowed work of the lowest priority comes last. Of it, best-effort work leaves
-    /// `best_effort_reserve_cpus` beside what other work is pending for.
+    /// Work of the lowest priority beyond the guarantee is served last. Best-effort work among
+    /// it leaves `best_effort_reserve_cpus` free in addition to the CPUs that other pending work
+    /// may use.
     pub(super) fn serve_by_priority(
         &mut self,
         bands: &[PriorityBand],
@@ -51,15 +52,15 @@
         }
     }
 
-    /// Serves the work of one priority, up to one bound of the quotas, in all serving orders.
+    /// Serves the work of one priority, up to one bound of the quotas, in each serving order.
     fn serve_band(&mut self, bound: QuotaBound, band: &PriorityBand) {
         self.serve_objectives_at_risk(bound, band.priority);
         self.serve_by_level_clocks(bound, band, ServingOrder::CachedImage);
         self.serve_by_level_clocks(bound, band, ServingOrder::Any);
     }
 
-    /// Jobs about to miss an objective, least remaining work first: it only shrinks
-    /// while a job is served, so the order stands for the whole pass.
+    /// Serves jobs about to miss an objective, least remaining work first. A job's remaining work
+    /// only shrinks while it is served, so the order is valid for the whole pass.
     fn serve_objectives_at_risk(&mut self, bound: QuotaBound, priority: Priority) {
         if self.candidates.is_empty() {
             return;
@@ -83,11 +84,11 @@
         }
     }
 
-    /// The jobs that are wanted, those with the least remaining work first.
-    pub(super) fn by_remaining_work(&self, wanted: impl Fn(&PendingJob) -> bool) -> Vec<usize> {
+    /// Returns the indices of the jobs that match, the least remaining work first.
+    pub(super) fn by_remaining_work(&self, matches: impl Fn(&PendingJob) -> bool) -> Vec<usize> {
         let mut found: Vec<(f64, JobIndex, usize)> = Vec::new();
         for (index, pending) in self.pending.iter().enumerate() {
-            if !wanted(pending) {
+            if !matches(pending) {
                 continue;
             }
             if let Some(job) = self.jobs.get(&pending.job) {
@@ -101,7 +102,7 @@
         found.into_iter().map(|(_, _, index)| index).collect()
     }
 
-    /// Places what it can of one priority, by the level clocks.
+    /// Places as many tasks of one priority as possible, by the level clocks.
     fn serve_by_level_clocks(
         &mut self,
         bound: QuotaBound,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// May a task of the range be placed now, in this order?
+    /// Whether a task of the range may be placed now, in this order.
     fn is_servable(&self, range: &PendingRange, bound: QuotaBound, order: ServingOrder) -> bool {
         let job = &self.pending[range.pending];
         let yields = order != ServingOrder::Any
@@ -138,7 +139,7 @@
         !yields && self.is_eligible(job, bound) && self.queue.get(range.position).is_some()
     }
 
-    /// May other jobs whose image is cached go before it?
+    /// Whether other jobs whose image is cached may go before the job.
     pub(super) fn may_be_passed(&self, job: &PendingJob, waiting_since: f64) -> bool {
         let waited_s = self.now - waiting_since;
         waited_s < limits::PASSED_OVER_FOR_IMAGE_MAX_S
--- a/crates/control/src/leader/scheduler/pass.rs
+++ b/crates/control/src/leader/scheduler/pass.rs
@@ -1,5 +1,5 @@
-//! One pass over the pending queue: the parts of the leader's state that it works on, and its
-//! questions about quotas.
+//! One pass over the pending queue: the parts of the leader's state that it uses, and its
+//! quota checks.
 
 use super::candidates::CandidateMachine;
 use super::pending::{PendingJob, PositionLink, PriorityBand};
@@ -13,30 +13,30 @@
 use cherrywood_sched::queue::Selection;
 use std::collections::BTreeSet;
 
-/// Up to which bound of its team's quota work is placed.
+/// The bound of its team's quota up to which work is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QuotaBound {
-    /// What the team is guaranteed.
+    /// The team's guarantee.
     Guarantee,
-    /// What it may use at most: beyond its guarantee it borrows what others leave.
+    /// The team's limit: beyond its guarantee a team borrows what other teams leave unused.
     Limit,
 }
 
-/// What a part of a pass may place, and how.
+/// Restrictions on the placements of one part of a pass.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ServingMode {
-    /// Free CPUs that must be left.
+    /// CPUs that must be left free.
     pub(super) reserved_cpus: f64,
-    /// Leave out best-effort work.
+    /// Exclude best-effort work.
     pub(super) prioritized_work_only: bool,
-    /// Place one task of a job, and no more. It doesn't wait for images.
+    /// Place a single task of each job. The task doesn't wait for images.
     pub(super) single_task: bool,
-    /// What is placed is never preempted, best effort or not.
+    /// The placements are never preempted, best effort or not.
     pub(super) not_preemptible: bool,
 }
 
-/// One pass over the pending queue, with the parts of the leader's state that it needs borrowed
-/// one by one.
+/// One pass over the pending queue. Borrows the parts of the leader's state that it needs
+/// separately.
 pub(super) struct PlacementPass<'a> {
     pub(super) now: f64,
     pub(super) settings: &'a Settings,
@@ -47,25 +47,25 @@
     pub(super) candidates: Vec<CandidateMachine<'a>>,
     pub(super) pending: Vec<PendingJob>,
     pub(super) positions: Vec<PositionLink>,
-    /// For each team in the order of the settings, what its tasks use, this pass's
-    /// included.
+    /// For each team, in the order of the settings, the resources that its tasks use, those of
+    /// this pass included.
     pub(super) used_by_team: Vec<Resources>,
-    /// For each team, what is kept free for one of its jobs.
+    /// For each team, the part of its quota that is reserved for one of its jobs.
     pub(super) reserved_by_team: Vec<Resources>,
     pub(super) image_fetches: &'a ImageFetches,
     pub(super) term: u64,
     pub(super) tokens_issued: &'a mut u64,
     pub(super) machines_to_record: &'a mut BTreeSet<String>,
-    /// Groups of tasks placed so far; a choice of machine is valid until the next is placed.
+    /// Groups of tasks placed so far; a choice of machine is valid until the next group is placed.
     pub(super) groups_placed: u64,
     pub(super) mode: ServingMode,
-    /// Machines looked at in all passes: a measure of what placement costs.
+    /// Machines examined in all passes: a measure of the cost of placement.
     pub(super) machines_examined: &'a mut u64,
 }
 
 impl PlacementPass<'_> {
-    /// Serves all pending work. Under-served classes may take `credit_cpus` before
-    /// others; best-effort work leaves `best_effort_reserve_cpus`.
+    /// Serves all pending work. Under-served classes may take `credit_cpus` before others;
+    /// best-effort work leaves `best_effort_reserve_cpus` free.
     pub(super) fn run(
         mut self,
         under_served: &[TenantClassId],
@@ -85,12 +85,12 @@
         }
     }
 
-    /// CPUs that all teams use, this pass's included.
+    /// Returns the CPUs that all teams use, those of this pass included.
     pub(super) fn placed_cpus(&self) -> f64 {
         self.used_by_team.iter().map(|used| used.cpus).sum()
     }
 
-    /// How many tasks of the job its team's quota leaves room for.
+    /// Returns how many tasks of the job its team's quota leaves room for.
     pub(super) fn quota_task_count(&self, pending: &PendingJob, bound: QuotaBound) -> u32 {
         let team = &self.settings.teams[pending.team];
         let used = self.used_by_team[pending.team] + self.reserved_by_team[pending.team];
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Teams whose limit has no room for a pending task of theirs.
+    /// Returns the teams whose limit leaves no room for one of their pending tasks.
     pub(super) fn limited_teams(&self) -> BTreeSet<usize> {
         let mut limited = BTreeSet::new();
         for (index, pending) in self.pending.iter().enumerate() {
@@ -115,7 +115,7 @@
         limited
     }
 
-    /// CPUs that pending work other than best-effort work may use.
+    /// Returns the CPUs that pending work other than best-effort work may use.
     pub(super) fn prioritized_pending_cpus(&self) -> f64 {
         let teams = self.settings.teams.iter().zip(&self.used_by_team);
         let headroom = teams
@@ -127,19 +127,19 @@
             .sum()
     }
 
-    /// Do the machines have more free than what must be left?
+    /// Whether the machines have more CPUs free than must be left.
     pub(super) fn has_spare_cpus(&self) -> bool {
         let free_cpus = || self.candidates.iter().map(|c| c.free.cpus).sum::<f64>();
         self.mode.reserved_cpus <= 0.0 || free_cpus() > self.mode.reserved_cpus
     }
 
-    /// May a task of the job be placed now, if a machine takes it?
+    /// Whether a task of the job may be placed now, if a machine has room for it.
     pub(super) fn is_eligible(&self, pending: &PendingJob, bound: QuotaBound) -> bool {
-        let left_out = self.mode.prioritized_work_only && pending.best_effort;
-        !pending.blocked && !left_out && self.quota_task_count(pending, bound) > 0
+        let is_excluded = self.mode.prioritized_work_only && pending.best_effort;
+        !pending.blocked && !is_excluded && self.quota_task_count(pending, bound) > 0
     }
 
-    /// A pending range of the job, whatever the level clocks say.
+    /// Returns a pending range of the job, regardless of the level clocks.
     pub(super) fn select_any(&self, pending: usize) -> Option<Selection<JobIndex>> {
         let mut link = self.pending[pending].first_position;
         while let Some(index) = link {
--- a/crates/control/src/leader/scheduler/pending.rs
+++ b/crates/control/src/leader/scheduler/pending.rs
@@ -10,8 +10,8 @@
 use cherrywood_wire::user::{JobKind, Priority};
 use rustc_hash::FxHashMap;
 
-/// A job with pending tasks. Whether it can be served is asked for each of thousands,
-/// several times a pass, so it is answered from here alone.
+/// A job with pending tasks. Whether a job can be served is checked several times a pass for
+/// each of thousands of jobs, so the check uses these fields alone.
 pub(super) struct PendingJob {
     pub(super) job: JobIndex,
     pub(super) kind: JobKind,
@@ -19,43 +19,43 @@
     pub(super) priority: Priority,
     pub(super) tenant_class: TenantClassId,
     pub(super) best_effort: bool,
-    /// What each of its tasks counts against its team's quota: CPUs and accelerators.
+    /// Resources that each task counts against the team's quota: CPUs and accelerators.
     pub(super) quota_request: Resources,
     /// Expected run time of a task, s.
     pub(super) expected_run_s: f64,
-    /// s until its tasks must be started for the next objective or deadline that it
+    /// Seconds until the job's tasks must be started for the next objective or deadline that it
     /// can still meet; None if there is none.
     pub(super) slack_s: Option<f64>,
-    /// Index of its team in the settings.
+    /// Index of the job's team in the settings.
     pub(super) team: usize,
-    /// The first of its positions in the queue, in `PendingWork::positions`.
+    /// Index in `PendingWork::positions` of the first of the job's positions in the queue.
     pub(super) first_position: Option<usize>,
-    /// Nothing more of it is placed in this pass: no machine takes it, or it waits
-    /// for an image.
+    /// No more tasks of the job are placed in this pass: no machine can take one, the job waits
+    /// for an image, or a pause or a probe after failures is not over.
     pub(super) blocked: bool,
-    /// Lets jobs go first whose image is cached on a machine with room.
+    /// Whether jobs whose image is cached on a machine with room go before the job.
     pub(super) yields_to_cached: bool,
-    /// Since when it has been passed over, if that is too long (`sched::starvation`).
+    /// Since when the job has been passed over, if that is too long (`sched::starvation`).
     pub(super) starving_since: Option<f64>,
-    /// The last answer to which machine suits it best.
+    /// The last result of the search for the best machine for the job.
     pub(super) best_machine: Option<CachedMachineChoice>,
 }
 
-/// Which machine suits a job best.
+/// The best machine for a job.
 #[derive(Clone, Copy)]
 pub(super) struct MachineChoice {
     /// Index among the candidates.
     pub(super) candidate: usize,
-    /// s until the job's image could be there.
+    /// Seconds until the job's image can be on the machine.
     pub(super) image_wait_s: f64,
 }
 
-/// A choice of machine, valid until something else is placed.
+/// A choice of machine, valid until the next group of tasks is placed.
 #[derive(Clone, Copy)]
 pub(super) struct CachedMachineChoice {
-    /// `PlacementPass::groups_placed` when it was made.
+    /// `PlacementPass::groups_placed` when the choice was made.
     pub(super) groups_placed: u64,
-    /// None: no machine takes the job.
+    /// None if no machine can take a task of the job.
     pub(super) choice: Option<MachineChoice>,
 }
 
@@ -73,27 +73,27 @@
     pub(super) ranges_by_level: [Vec<PendingRange>; limits::LEVELS],
 }
 
-/// A position in the queue, in a list of all positions of the same job.
+/// A position in the queue, as an element of a linked list of all positions of the same job.
 pub(super) struct PositionLink {
     pub(super) position: Position,
-    /// Index of the job's next one in `PendingWork::positions`.
+    /// Index in `PendingWork::positions` of the job's next position.
     pub(super) next: Option<usize>,
 }
 
-/// What a pass finds in the queue.
+/// The pending work at the start of a pass.
 pub(super) struct PendingWork {
-    /// In the order in which the queue first names them.
+    /// The jobs with pending tasks, in the order in which they first occur in the queue.
     pub(super) jobs: Vec<PendingJob>,
-    /// The highest priority first.
+    /// One band for each priority, the highest first.
     pub(super) bands: Vec<PriorityBand>,
     /// The positions of all ranges, linked for each job.
     pub(super) positions: Vec<PositionLink>,
-    /// The smallest CPUs, accelerators and memory that a pending task asks for: no
-    /// machine with less free needs to be looked at.
+    /// The smallest CPUs, accelerators and memory that any pending task requests: a machine with
+    /// less free needs no examination.
     pub(super) smallest_request: Resources,
 }
 
-/// What the predictor knows of a key, looked up once a pass for all jobs of the key.
+/// The predictor's estimates for a key, looked up once a pass for all jobs of the key.
 #[derive(Clone, Copy)]
 struct RunTimes {
     median_s: Option<f64>,
@@ -108,8 +108,8 @@
         }
     }
 
-    /// s until the job's pending tasks must be started for the next objective or
-    /// deadline that it can still meet; None if there is none.
+    /// Returns the seconds until the job's pending tasks must be started for the next objective
+    /// or deadline that it can still meet; None if there is none.
     fn slack_s(self, job: &Job, now: f64) -> Option<f64> {
         let mut least_s: Option<f64> = None;
         let mut consider = |slack_s: f64| {
@@ -126,8 +126,8 @@
             };
             consider(within_s - age_s - run_s);
         }
-        // A deadline of its own or of a job that depends on it. After it, being done
-        // still counts for a grace period.
+        // A deadline of the job itself or of a job that depends on it. Finishing within a grace
+        // period after the deadline still counts.
         if let Some(latest) = job.latest_start {
             let grace_s = if latest.at_s < now {
                 latest.grace_s
@@ -147,13 +147,13 @@
     work: PendingWork,
     index_by_job: FxHashMap<JobIndex, usize>,
     run_times_by_key: FxHashMap<u64, RunTimes>,
-    /// For each job, the last of its positions so far.
+    /// For each job, the last of its positions collected so far.
     last_position: Vec<Option<usize>>,
 }
 
 impl Collector<'_> {
-    /// The index of the job in the pending work; None if it isn't known any more, or
-    /// no settings name its team.
+    /// Returns the index of the job in the pending work; None if the job is no longer known or
+    /// its team isn't in the settings.
     fn index_of(&mut self, job: JobIndex) -> Option<usize> {
         if let Some(index) = self.index_by_job.get(&job) {
             return Some(*index);
@@ -232,7 +232,7 @@
 }
 
 impl Leader {
-    /// All pending work, as it is now.
+    /// Collects all pending work.
     pub(super) fn pending_work(&self, now: f64) -> PendingWork {
         let mut collector = Collector {
             leader: self,
@@ -257,7 +257,7 @@
         work
     }
 
-    /// Since when the job has had no task placed, if that is too long.
+    /// Returns since when the job has had no task placed, if that is too long.
     fn starving_since(&self, job: &Job, team: usize, now: f64) -> Option<f64> {
         let since = job.unserved_since()?;
         let passed_over = PassedOverJob {
@@ -270,7 +270,7 @@
     }
 }
 
-/// Expected run time of a task of the job, s: the median of its key or, without one,
+/// Returns the expected run time of a task of the job, s: the median of its key or, without one,
 /// its owner's estimate.
 pub(in crate::leader) fn expected_run_s(median_s: Option<f64>, job: &Job) -> f64 {
     median_s.unwrap_or(job.spec.estimate_s).max(1.0)
--- a/crates/control/src/leader/scheduler/starvation.rs
+++ b/crates/control/src/leader/scheduler/starvation.rs
@@ -5,16 +5,16 @@
 use crate::resources::Resources;
 
 impl PlacementPass<'_> {
-    /// Jobs that were passed over for too long get a single task before all else, the longest
-    /// passed over first. So every array starts in the end, also the largest, and no job of a
-    /// team at its limit is overtaken for ever: by remaining work and by level clocks alone an
-    /// array was passed over for as long as others kept coming. Where its team's limit leaves
-    /// too little for its task, what is left is reserved for it, or smaller tasks would take it
-    /// one by one.
+    /// Places a single task of each job that was passed over for too long before all other work,
+    /// the longest passed over first. This ensures that every array starts eventually, also the
+    /// largest, and that no job of a team at its limit is overtaken forever: by remaining work
+    /// and level clocks alone, an array was passed over for as long as other jobs kept arriving.
+    /// If the team's limit leaves too little for the job's task, the remainder is reserved for
+    /// it, since smaller tasks would otherwise take the remainder one by one.
     pub(super) fn serve_starving(&mut self) {
         self.mode = ServingMode {
             single_task: true,
-            // As best-effort work it would be preempted at once, and start again.
+            // As best-effort work the task would be preempted at once and start again.
             not_preemptible: true,
             ..ServingMode::default()
         };
@@ -34,7 +34,7 @@
         self.mode = ServingMode::default();
     }
 
-    /// The jobs that were passed over for too long, the longest first.
+    /// Returns the jobs that were passed over for too long, the longest first.
     fn starving_jobs(&self) -> Vec<usize> {
         let pending = self.pending.iter().enumerate();
         let starving = pending.filter_map(|(index, job)| Some((job.starving_since?, index)));
@@ -43,8 +43,8 @@
         starving.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// Reserves what the team's limit leaves for a task that it has no room for yet, if
-    /// a machine has room. The first job of a team comes first.
+    /// Reserves quota for a task for which the team's limit has no room yet, if a machine has
+    /// room. Each team reserves for the first of its jobs only.
     fn reserve_quota(&mut self, pending: usize) {
         let job = &self.pending[pending];
         let (team, request, blocked) = (job.team, job.quota_request, job.blocked);
--- a/crates/control/src/leader/summary.rs
+++ b/crates/control/src/leader/summary.rs
@@ -1,16 +1,16 @@
-//! What the leader says of itself: for the log, and for tests.
+//! Summaries of the leader's state for the log, the status endpoint and tests.
 
 use super::*;
 
 impl Leader {
-    /// Tasks that wait in each level.
+    /// Returns the number of tasks that wait in each level.
     pub fn queue_lengths(&self) -> Vec<u32> {
         (0..limits::LEVELS)
             .map(|l| self.pending_queue.waiting_tasks(l))
             .collect()
     }
 
-    /// Each team's name, CPUs used and most allowed.
+    /// Returns each team's name, the CPUs that it uses and its limit.
     pub fn team_usage(&self) -> Vec<(String, f64, f64)> {
         let used = |name: &str| self.quota_usage.of(name).cpus;
         let teams = self.settings.teams.iter();
@@ -19,7 +19,7 @@
             .collect()
     }
 
-    /// One line for the log.
+    /// Returns a summary in one line for the log.
     pub fn summary(&self) -> String {
         let placed: usize = self.machines.values().map(|m| m.placements.len()).sum();
         let up = self.machines.values().filter(|m| m.up).count();
@@ -35,7 +35,7 @@
         let rows = || self.machines.values().flat_map(|m| m.placements.iter());
         let used: f64 = rows().map(|p| p.cpus).sum();
         let running: f64 = rows().filter(|p| p.running).map(|p| p.cpus).sum();
-        // CPUs that each team uses of its limit, and those not running yet.
+        // The CPUs that each team uses, its limit, and the used CPUs whose tasks don't run yet.
         let teams: Vec<String> = self
             .settings
             .teams
--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -1,20 +1,20 @@
 //! Whether this process may write and act as the leader.
 //!
-//! Two proofs are needed, and neither stands for the other:
+//! Two proofs are needed, and neither implies the other:
 //!
-//! * **The lease of the leader key** proves that no other controller leads. It is enough
-//!   for writes ([`Leadership::may_write`]), since each write is guarded by the leader key.
-//! * **A recent view of the cancellations** proves what may no longer run. Any controller
-//!   confirms a cancellation, so answering a worker is safe only while the data the answer
-//!   rests on is known to be complete up to a moment that is not long ago. Acting on
+//! * **The lease of the leader key** proves that no other controller leads. It suffices for
+//!   writes ([`Leadership::may_write`]), since each write is guarded by the leader key.
+//! * **A recent view of the cancellations** proves which work may no longer run. Any
+//!   controller may confirm a cancellation, so a response to a worker is safe only while the
+//!   data that it is based on is known to be complete up to a recent moment. Acting on
 //!   workers ([`Leadership::may_act`]) needs both proofs.
 //!
-//! Renewing the lease proves nothing about cancellations: after an outage of the state
-//! service a lease has its full time again, and where only the watch of the jobs is
-//! refused, lags or hangs, the lease goes on being renewed.
+//! Renewing the lease proves nothing about cancellations: after an outage of the key-value
+//! store a lease has its full duration again, and while only the watch of the jobs is
+//! refused, lags or hangs, the lease is still renewed.
 //!
-//! Both proofs count from the sending of the request whose answer proves them. All times
-//! are seconds on this process's monotonic clock.
+//! The validity of both proofs is counted from the sending of the request whose response
+//! proves them. All times are seconds on this process's monotonic clock.
 
 use crate::LeaseTiming;
 use cherrywood_limits as limits;
@@ -27,15 +27,16 @@
     /// The lease of the leader key; 0 if this process doesn't hold the key.
     lease_id: u64,
     lease_expires_at: f64,
-    /// All cancellations committed before this moment are known here.
+    /// All cancellations committed before this time are known to this process.
     view_complete_until: Option<f64>,
-    /// Since when the lease has been renewed while the view was too old to act on.
+    /// Start of the period in which the lease has been renewed although the view was too old
+    /// to act on; `None` if the view is recent.
     renewed_without_view_since: Option<f64>,
 }
 
 impl Leadership {
-    /// The leader key is held under `lease_id`, a lease requested at `sent`. Proofs of an
-    /// earlier term are dropped.
+    /// Records that this process holds the leader key under `lease_id`, a lease requested at
+    /// `sent`. Drops the proofs of an earlier term.
     pub fn acquired(&mut self, lease_id: u64, sent: f64, timing: &LeaseTiming) {
         *self = Leadership {
             lease_id,
@@ -45,18 +46,18 @@
         };
     }
 
-    /// This process no longer leads.
+    /// Records that this process no longer leads.
     pub fn lost(&mut self) {
         *self = Leadership::default();
     }
 
-    /// The lease of the leader key; 0 if this process doesn't hold the key.
+    /// Returns the lease of the leader key; 0 if this process doesn't hold the key.
     pub fn lease_id(&self) -> u64 {
         self.lease_id
     }
 
-    /// The renewal of `lease_id` that was sent at `sent` succeeded. Without effect if that
-    /// lease is not the one of this term.
+    /// Records that the renewal of `lease_id` that was sent at `sent` succeeded. Has no effect
+    /// if that lease is not the one of this term.
     pub fn lease_renewed(&mut self, lease_id: u64, sent: f64, timing: &LeaseTiming) {
         if !self.is_current(lease_id) {
             return;
@@ -71,8 +72,9 @@
         };
     }
 
-    /// The leader of `lease_id` has taken in every change committed before `sent`. An
-    /// answer that arrives after a newer one doesn't make the view older.
+    /// Records that the leader of `lease_id` has applied every change committed before `sent`.
+    /// A response that arrives after a newer one doesn't make the view older. Has no effect if
+    /// that lease is not the one of this term.
     pub fn view_completed(&mut self, lease_id: u64, sent: f64) {
         if !self.is_current(lease_id) {
             return;
@@ -88,7 +90,7 @@
         self.lease_id != 0 && now < self.lease_expires_at
     }
 
-    /// Whether this process may also answer workers, grant shard leases and send commands.
+    /// Whether this process may also respond to workers, grant shard leases and send commands.
     pub fn may_act(&self, now: f64, timing: &LeaseTiming) -> bool {
         let max_age_s = timing.view_max_age_s * (1.0 - limits::CLOCK_DRIFT_SHARE);
         self.may_write(now)
@@ -97,9 +99,9 @@
                 .is_some_and(|v| now < v + max_age_s)
     }
 
-    /// Seconds for which the lease has been renewed while the view was too old; 0 if the
-    /// view is recent. A leader for which this grows gives up the key: another controller
-    /// may still be able to watch the jobs.
+    /// Returns the seconds for which the lease has been renewed although the view was too old;
+    /// 0 if the view is recent. A leader for which this grows gives up the key: another
+    /// controller may still be able to watch the jobs.
     pub fn renewed_without_view_s(&self, now: f64) -> f64 {
         self.renewed_without_view_since
             .map_or(0.0, |since| now - since)
@@ -110,7 +112,7 @@
     }
 }
 
-/// When a lease requested at `sent` expires at the earliest, on any clock.
+/// Returns the earliest time at which a lease requested at `sent` expires on any clock.
 fn lease_expiry(sent: f64, timing: &LeaseTiming) -> f64 {
     sent + timing.leader_lease_s * (1.0 - limits::CLOCK_DRIFT_SHARE)
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,18 +1,19 @@
-//! The controller as a pure state machine: events and the time go in, commands, transactions
-//! and cloud requests come out. No I/O, no clock, no randomness.
+//! The controller as a pure state machine: its inputs are events and the time, its outputs
+//! commands, transactions and cloud requests. No I/O, no clock, no randomness.
 //!
-//! * [`Leader`]: what the leading controller knows and decides.
+//! * [`Leader`]: the state and the decisions of the leading controller.
 //! * [`Leadership`]: whether a controller may write and act as the leader.
-//! * [`ShardOwner`]: what every controller knows of the machines whose heartbeats it answers.
-//! * [`LeaseTiming`]: how long leases last, so that cancelled work ends in time.
+//! * [`ShardOwner`]: the state that every controller keeps of the machines to whose heartbeats it
+//!   responds.
+//! * [`LeaseTiming`]: the durations of the leases, derived so that cancelled work ends in time.
 //! * [`Settings`]: the deployment as the platform describes it, and the operators' policy.
-//! * [`keys`]: the form of the keys in the state service.
+//! * [`keys`]: the format of the keys in the key-value store.
 //!
-//! The package `node` runs these on connections and timers; the package `simulation` runs
-//! the same code on a simulated network and clock.
+//! The package `node` drives this code with connections and timers; the package `simulation`
+//! drives the same code with a simulated network and clock.
 
-/// Traces a step of a job or task under the log target `life`: off unless a simulation turns it
-/// on.
+/// Traces a step of a job or task under the log target `life`, which is off unless a simulation
+/// turns it on.
 #[macro_export]
 macro_rules! trace_job {
     ($job:expr, $($rest:tt)*) => {
--- a/crates/control/src/resources.rs
+++ b/crates/control/src/resources.rs
@@ -1,10 +1,10 @@
-//! Resources as the wire's messages state them.
+//! Conversion of messages of the wire protocol to [`Resources`].
 
 pub(crate) use cherrywood_sched::Resources;
 use cherrywood_wire::cloud::MachineType;
 use cherrywood_wire::user::Submission;
 
-/// What each task of the submission asks for.
+/// Returns the resources that each task of the submission requests.
 pub(crate) fn task_request(spec: &Submission) -> Resources {
     Resources {
         cpus: spec.cpus,
@@ -13,7 +13,7 @@
     }
 }
 
-/// What a machine of this type has for tasks.
+/// Returns the resources that a machine of this type has for tasks.
 pub(crate) fn machine_capacity(machine_type: &MachineType) -> Resources {
     Resources {
         cpus: machine_type.cpus,
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,6 +1,6 @@
 //! The platform's settings of the deployment, and the operators' policy.
 //!
-//! The structs with serde derives have the field names and forms of the platform's
+//! The structs with serde derives have the field names and formats of the platform's
 //! settings file.
 
 pub use cherrywood_admission::SheddingPolicy;
@@ -12,7 +12,7 @@
 /// The settings that the controllers of one deployment share.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Settings {
-    /// The operators' choices; from a file of their own.
+    /// The operators' policy; read from a separate file.
     #[serde(skip)]
     pub policy: OperatorPolicy,
     /// The service-level objectives that the deployment is measured by.
@@ -23,28 +23,28 @@
     pub teams: Vec<Team>,
     /// Intervals and leases of the workers.
     pub workers: Workers,
-    /// Rates and sizes that the state service takes.
+    /// Limits of the key-value store on rates and sizes.
     pub state: StateLimits,
-    /// Rate and delay of the cloud.
+    /// Request rate limit and list delay of the cloud.
     pub cloud: CloudLimits,
 }
 
-/// The quota of a team. A guest team has none: a limit of 0, or none at all, stands for
-/// "no limit" and is read as infinite.
+/// The quota of a team. A guest team has none: a limit that is 0 or absent means "no limit" and
+/// is read as infinite.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Team {
-    /// Its name in submissions.
+    /// The team's name in submissions.
     pub name: String,
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Limit of CPUs.
+    /// Limit on CPUs.
     #[serde(default = "unlimited", deserialize_with = "limit")]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of GPUs.
+    /// Limit on GPUs.
     #[serde(default = "unlimited", deserialize_with = "limit")]
     pub gpus_max: f64,
 }
@@ -58,18 +58,18 @@
     Ok(if given > 0.0 { given } else { unlimited() })
 }
 
-/// Intervals and leases of the workers, in s.
+/// Intervals and leases of the workers, in seconds.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Workers {
-    /// Between two heartbeats.
+    /// Interval between two heartbeats.
     pub report_s: f64,
-    /// From the last answered heartbeat until the worker kills its tasks.
+    /// Time from the last heartbeat with a response until the worker kills its tasks.
     pub lease_s: f64,
-    /// From the confirmation of a cancellation until its tasks must be gone.
+    /// Time from the confirmation of a cancellation until the cancelled tasks must be gone.
     pub cancel_s: f64,
 }
 
-/// What the state service takes.
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct StateLimits {
     /// Requests a second.
@@ -80,12 +80,12 @@
     pub value_kb: f64,
     /// Changes in one transaction.
     pub txn_ops: usize,
-    /// The limits from some later moment on.
+    /// Announced limits that take effect at some later time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<NextLimits>,
 }
 
-/// Announced limits of the state service; those that aren't named stay as they are.
+/// Announced limits of the key-value store; limits that are absent don't change.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct NextLimits {
     /// Requests a second.
@@ -99,8 +99,8 @@
 }
 
 impl StateLimits {
-    /// The limits to keep to, so that none is exceeded whenever the announced ones come
-    /// into force.
+    /// Returns the limits to observe so that none is exceeded whenever the announced ones take
+    /// effect.
     pub fn kept(&self) -> StoreLimits {
         let now = ConfiguredLimits {
             rps: self.rps,
@@ -119,39 +119,40 @@
     }
 }
 
-/// What the cloud takes.
+/// Limits of the cloud.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct CloudLimits {
     /// Requests a second.
     pub rps: f64,
-    /// s by which its list of machines may lag behind.
+    /// Seconds by which the cloud's list of machines may lag behind.
     pub list_lag_s: f64,
 }
 
-/// A service-level objective on the start (`wait`) or the end (`finished`) of jobs.
+/// A service-level objective for the start (`wait`) or the end (`finished`) of jobs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Objective {
-    /// `wait` (its tasks have started) or `finished`; others have no effect on scheduling.
+    /// `wait` (until the job's tasks have started) or `finished`; other kinds have no effect on
+    /// scheduling.
     pub kind: String,
-    /// The class of jobs that it counts.
+    /// The job class that the objective applies to.
     #[serde(default)]
     pub class: String,
-    /// s from the acceptance of a job.
+    /// Seconds from the acceptance of a job.
     #[serde(default)]
     pub within_s: f64,
 }
 
-/// The operators' choices; the defaults are the design.
+/// The operators' policy; the defaults are those that the design assumes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorPolicy {
     /// Rent spot machines only, never on-demand machines.
     pub cheap_only: bool,
-    /// Queue tasks in levels by the median run time of their key; else all in one level, first
-    /// come first served.
+    /// Queue tasks in levels by the median run time of their key; otherwise all in one level,
+    /// first come, first served.
     pub levels: bool,
     /// When tasks that have waited for long move up one level.
     pub aging: Aging,
-    /// How much is admitted under overload.
+    /// Admission under overload.
     pub admission: AdmissionPolicy,
 }
 
@@ -166,14 +167,14 @@
     }
 }
 
-/// How much is admitted under overload, and what of it is served first.
+/// How much work is admitted under overload, and which of it is served first.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionPolicy {
     /// Jobs for which there is no capacity are refused.
     pub gates: bool,
-    /// Tenant classes that are under-served get a part of what comes free before others do.
+    /// Under-served tenant classes get a part of the CPUs that come free before others do.
     pub floors: bool,
-    /// Served share up to which every tenant class comes before the teams' guarantees.
+    /// Served share up to which every tenant class takes precedence over the teams' guarantees.
     pub floor: f64,
     /// Weights of teams whose weight isn't 1.
     pub weights: BTreeMap<String, f64>,
--- a/crates/control/src/shard_owner.rs
+++ b/crates/control/src/shard_owner.rs
@@ -1,34 +1,34 @@
-//! A controller as owner of a shard: the machines whose workers it answers.
+//! A controller as the owner of a shard: the machines whose workers it responds to.
 //!
 //! The leader leases machines to controllers one by one; the machines leased to one
-//! controller are its shard. While a lease lasts, its owner answers the machine's heartbeats
-//! under the lease's fencing token, without the leader if it can't be reached, and so keeps
-//! the worker's own lease alive. The owner also measures how long tasks ran, since it alone
-//! sees every heartbeat of its machines.
+//! controller are its shard. While a lease lasts, its owner responds to the machine's
+//! heartbeats under the lease's fencing token, without the leader if the leader can't be
+//! reached, and so keeps the worker's own lease alive. The owner also measures how long tasks
+//! ran, since it alone sees every heartbeat of its machines.
 //!
 //! All times are seconds on this process's monotonic clock.
 
 use cherrywood_wire::agent::{Command, ExitCause, Heartbeat, HeartbeatResponse, TaskState};
 use std::collections::HashMap;
 
-/// A lease of one machine.
+/// The shard lease of one machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ShardLease {
     token: u64,
     expires_at: f64,
 }
 
-/// What the last heartbeat of a machine said about its tasks.
+/// The state of a machine's tasks as its last heartbeat reported it.
 #[derive(Debug, Default)]
 struct ObservedMachine {
     incarnation: u64,
     sequence: u64,
     heard_at: f64,
-    /// Since when each running attempt of a task has been seen running.
+    /// When each running attempt of a task, by task and attempt number, was first seen running.
     running_since: HashMap<(String, u64), f64>,
 }
 
-/// The shard leases of this controller and what it observed of its machines.
+/// The shard leases of this controller and its observations of its machines.
 #[derive(Debug, Default)]
 pub struct ShardOwner {
     leases: HashMap<String, ShardLease>,
@@ -36,9 +36,9 @@
 }
 
 impl ShardOwner {
-    /// The leader granted a lease in answer to a request sent at `sent`. The lease counts
-    /// from there, however long the answer took. An older token, or an earlier expiry under
-    /// the same token, changes nothing.
+    /// Records a lease that the leader granted in response to a request sent at `sent`. The
+    /// lease runs from `sent`, however long the response took. An older token, or an earlier
+    /// expiry under the same token, changes nothing.
     pub fn lease_granted(&mut self, machine: &str, token: u64, sent: f64, shard_lease_s: f64) {
         let granted = ShardLease {
             token,
@@ -51,9 +51,9 @@
         }
     }
 
-    /// The leader answered a heartbeat with stops for work that may not go on, under this
-    /// token. The answer may get lost, so it must not extend the lease: the next heartbeat
-    /// that needs no such stop does. An older token is no longer valid.
+    /// Records that the leader responded to a heartbeat with stops for work that must not
+    /// continue, under this token. The response may get lost, so it must not extend the lease:
+    /// the next heartbeat that needs no such stop does. An older token is no longer valid.
     pub fn must_deliver_stops(&mut self, machine: &str, token: u64) {
         let expired = ShardLease {
             token,
@@ -63,11 +63,11 @@
         lease.token = lease.token.max(token);
     }
 
-    /// The response to a heartbeat that arrived here at `received_at`; `None` if this
-    /// controller may not give one.
+    /// Returns the response to a heartbeat that this controller received at `received_at`;
+    /// `None` if it may not give one.
     ///
-    /// `from_leader` is what the leader answered, `None` if it can't be asked: then the
-    /// worker is kept alive, without commands, for as long as the shard lease lasts.
+    /// `from_leader` is the leader's response, `None` if the leader can't be reached: then the
+    /// worker's lease is renewed, without commands, for as long as the shard lease lasts.
     pub fn heartbeat_response(
         &mut self,
         machine: &str,
@@ -84,8 +84,8 @@
         };
         let token = response.fencing_token;
         if response.commands.iter().any(ends_at_once) {
-            // This one response may be given although the lease isn't extended by it. If
-            // both it and the leader are lost, the work ends with the worker's lease.
+            // This response may be given although it doesn't extend the lease. If both the
+            // response and the leader are lost, the work ends with the worker's lease.
             self.must_deliver_stops(machine, token);
             let in_time = now < received_at + shard_lease_s;
             let may_respond = self.is_newest_token(machine, token) && in_time;
@@ -102,7 +102,7 @@
             .is_some_and(|lease| lease.token == token)
     }
 
-    /// The token under which this controller may answer the machine now, if any.
+    /// Returns the token under which this controller may respond to the machine now, if any.
     pub fn valid_token(&self, machine: &str, now: f64) -> Option<u64> {
         self.leases
             .get(machine)
@@ -110,15 +110,15 @@
             .map(|lease| lease.token)
     }
 
-    /// The number of machines that this controller may answer now.
+    /// Returns the number of machines that this controller may respond to now.
     pub fn valid_leases(&self, now: f64) -> usize {
         let leases = self.leases.values();
         leases.filter(|lease| now < lease.expires_at).count()
     }
 
-    /// Takes note of a heartbeat. Returns the tasks that have succeeded since the one
-    /// before and the seconds for which each was seen running; nothing for a heartbeat
-    /// that is no newer than the last.
+    /// Records a heartbeat. Returns the tasks that have succeeded since the previous one and
+    /// the seconds for which each was seen running; nothing for a heartbeat that is no newer
+    /// than the last.
     pub fn observe_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) -> Vec<(String, f64)> {
         let observed = self.observed.entry(heartbeat.machine.clone()).or_default();
         if (heartbeat.incarnation, heartbeat.sequence) <= (observed.incarnation, observed.sequence)
@@ -150,7 +150,8 @@
         finished
     }
 
-    /// Forgets machines not heard from, and leases that expired, more than `after_s` ago.
+    /// Removes the observations of machines whose last heartbeat is at least `after_s` old, and
+    /// the leases that expired at least `after_s` ago.
     pub fn forget_silent(&mut self, now: f64, after_s: f64) {
         self.observed
             .retain(|_, observed| now - observed.heard_at < after_s);
@@ -159,7 +160,7 @@
     }
 }
 
-/// Whether this command stops work that may not go on, without time to save a checkpoint.
+/// Whether the command stops work that must not continue, without time to save a checkpoint.
 fn ends_at_once(command: &Command) -> bool {
     matches!(command, Command::Stop { grace_s, .. } if *grace_s <= 0.0)
 }
