--- a/crates/control/src/bitmap.rs
+++ b/crates/control/src/bitmap.rs
@@ -90,7 +90,7 @@
     use super::*;
 
     #[test]
-    fn the_largest_job_fits_a_value_and_reads_back() {
+    fn finished_tasks_of_the_largest_job_fit_one_value_and_round_trip() {
         let mut map = Bitmap::default();
         for i in (0..100_000).step_by(3) {
             assert!(map.set(i));
--- a/crates/control/src/leader/admitting.rs
+++ b/crates/control/src/leader/admitting.rs
@@ -40,53 +40,53 @@
     /// Returns the state of the cluster that admission decides by. Also records the CPUs that are
     /// up, which is why this takes the leader mutably.
     fn admission_view(&mut self, refused: Vec<RefusedJob>, now: f64) -> ClusterView {
-        let (mut up, mut coming, mut standing, mut placed) = (0.0, 0.0, 0.0, 0.0);
+        let (mut up, mut booting, mut services, mut placed) = (0.0, 0.0, 0.0, 0.0);
         for m in self
             .machines
             .values()
             .filter(|m| !m.cordoned && !m.deleting)
         {
             let cpus = self.cpus_of(&m.machine_type);
-            let n = if m.up { &mut up } else { &mut coming };
-            *n += cpus;
+            let sum = if m.up { &mut up } else { &mut booting };
+            *sum += cpus;
             for p in m.placements.iter() {
                 placed += p.cpus;
                 let job = p.job.and_then(|no| self.jobs.get(&no));
                 if job.is_some_and(|j| j.spec.kind == JobKind::Service) {
-                    standing += p.cpus;
+                    services += p.cpus;
                 }
             }
         }
-        let waits = self
+        let has_pending = self
             .pending_queue
             .ranges()
             .any(|r| self.jobs.contains_key(&r.job));
-        let busy = waits && placed > up * bounds::THROUGHPUT_MEASURED_CPU_SHARE;
+        let is_saturated = has_pending && placed > up * bounds::THROUGHPUT_MEASURED_CPU_SHARE;
         self.admission
-            .record_capacity(up, now - self.capacity_sampled_at, busy);
+            .record_capacity(up, now - self.capacity_sampled_at, is_saturated);
         self.capacity_sampled_at = now;
         let mut backlog: BTreeMap<TenantClassId, f64> = BTreeMap::new();
-        let mut filling: BTreeMap<TenantClassId, f64> = BTreeMap::new();
+        let mut best_effort_backlog: BTreeMap<TenantClassId, f64> = BTreeMap::new();
         for job in self
             .jobs
             .values()
             .filter(|j| !j.awaiting_dependencies && j.spec.kind != JobKind::Service)
         {
-            let est = self.expected_run_s(job);
+            let run_s = self.expected_run_s(job);
             // Placed tasks are assumed to be half done on average.
             let tasks = f64::from(job.remaining_tasks()) + f64::from(job.placement_count) / 2.0;
-            let work = tasks * job.spec.cpus * est;
+            let work = tasks * job.spec.cpus * run_s;
             *backlog.entry(job.tenant_class).or_default() += work;
             if job.best_effort {
-                *filling.entry(job.tenant_class).or_default() += work;
+                *best_effort_backlog.entry(job.tenant_class).or_default() += work;
             }
         }
         let demand = self.fleet_demand();
-        let short = demand.first_pending.is_some()
-            && demand.all.wanted_cpus(limits::SPOT_BACKLOG_DRAIN_S) > up + coming;
-        let full = short
+        let lacks_cpus = demand.first_pending.is_some()
+            && demand.all.wanted_cpus(limits::SPOT_BACKLOG_DRAIN_S) > up + booting;
+        let cloud_full = lacks_cpus
             && (self.admission.at_capacity()
-                || now - self.autoscaler.grew_at() > bounds::CLOUD_FULL_AFTER_S);
+                || now - self.autoscaler.last_growth_at() > bounds::CLOUD_FULL_AFTER_S);
         let policy = &self.settings.policy.admission;
         let teams = self.settings.teams.iter();
         let medians = self.predictor.medians_s();
@@ -98,8 +98,9 @@
             .collect();
         medians.sort_by_key(|m| m.key_hash);
         ClusterView {
-            available_cpus: (up + coming - standing).max(1.0),
-            at_capacity: full && now - self.autoscaler.grew_at() > bounds::SCALE_OUT_MEMORY_S,
+            available_cpus: (up + booting - services).max(1.0),
+            at_capacity: cloud_full
+                && now - self.autoscaler.last_growth_at() > bounds::SCALE_OUT_MEMORY_S,
             teams: teams
                 .map(|t| TeamQuota {
                     name: t.name.clone(),
@@ -109,10 +110,10 @@
                 })
                 .collect(),
             backlog_cpu_s: backlog,
-            best_effort_backlog_cpu_s: filling,
+            best_effort_backlog_cpu_s: best_effort_backlog,
             completion_targets_s: self
                 .admission
-                .map_classes(|class| self.class_horizon_s(class)),
+                .map_classes(|class| self.class_completion_target_s(class)),
             jobs_per_s: self.store_limits.write_rps * bounds::STORE_CHANGES_FOR_JOBS_SHARE
                 / bounds::STORE_CHANGES_PER_JOB,
             refused_jobs: refused,
@@ -127,41 +128,43 @@
         if !self.settings.policy.admission.floors {
             return Vec::new();
         }
-        let mut late: BTreeMap<TenantClassId, f64> = BTreeMap::new();
+        let mut overdue: BTreeMap<TenantClassId, f64> = BTreeMap::new();
         for job in self
             .jobs
             .values()
             .filter(|j| !j.awaiting_dependencies && j.remaining_tasks() > 0)
         {
-            if now - job.ready_at > self.lateness_threshold_s(job) && !job.is_suspect() {
-                *late.entry(job.tenant_class).or_default() += 1.0;
+            if now - job.ready_at > self.overdue_after_s(job) && !job.is_suspect() {
+                *overdue.entry(job.tenant_class).or_default() += 1.0;
             }
         }
-        let standing = self
+        let services = self
             .admission
             .class_statistics()
             .map(|(class, a)| ClassService {
                 class,
                 done: a.recent_done,
-                overdue: late.get(&class).copied().unwrap_or(0.0),
+                overdue: overdue.get(&class).copied().unwrap_or(0.0),
             });
-        under_served(standing.collect(), bounds::UNDER_SERVED_SHARE)
+        under_served(services.collect(), bounds::UNDER_SERVED_SHARE)
     }
 
     /// Returns the seconds after which a job that isn't done counts as overdue. A job with a long
     /// run time may wait for long, unless an objective says otherwise: without this rule, guests'
     /// tasks of 300 s were placed before urgent ones because none of their jobs was done after
     /// 90 s.
-    fn lateness_threshold_s(&self, job: &Job) -> f64 {
-        let aimed = job
+    fn overdue_after_s(&self, job: &Job) -> f64 {
+        let finish_objectives = job
             .objectives
             .iter()
-            .filter(|(aim, _)| *aim == ObjectiveKind::Finish);
-        let most = aimed.map(|(_, within_s)| *within_s).reduce(f64::max);
-        let time_s = match most {
-            Some(within_s) => horizon_or_default_s(within_s),
+            .filter(|(kind, _)| *kind == ObjectiveKind::Finish);
+        let longest_s = finish_objectives
+            .map(|(_, within_s)| *within_s)
+            .reduce(f64::max);
+        let time_s = match longest_s {
+            Some(within_s) => completion_target_or_default_s(within_s),
             None => {
-                horizon_or_default_s(0.0)
+                completion_target_or_default_s(0.0)
                     + bounds::UNCOVERED_CLASS_EXTRA_RUN_TIMES * self.expected_run_s(job)
             }
         };
@@ -170,10 +173,10 @@
 
     /// Returns the seconds within which a job of the class should be done: the class's objective,
     /// or else a default.
-    fn class_horizon_s(&self, class: &str) -> f64 {
-        let aims = self.settings.objectives.iter();
-        let own = aims.filter(|o| o.class == class && o.kind == "finished");
-        horizon_or_default_s(own.map(|o| o.within_s).fold(0.0, f64::max))
+    fn class_completion_target_s(&self, class: &str) -> f64 {
+        let objectives = self.settings.objectives.iter();
+        let of_class = objectives.filter(|o| o.class == class && o.kind == "finished");
+        completion_target_or_default_s(of_class.map(|o| o.within_s).fold(0.0, f64::max))
     }
 
     /// Returns a summary for the log: the scarce resource, and the jobs offered, admitted, waiting
@@ -216,7 +219,7 @@
 }
 
 /// Returns the bound of an objective, s; the default if there is none (0).
-fn horizon_or_default_s(within_s: f64) -> f64 {
+fn completion_target_or_default_s(within_s: f64) -> f64 {
     if within_s > 0.0 {
         within_s
     } else {
--- a/crates/control/src/leader/autoscaler/machine_health.rs
+++ b/crates/control/src/leader/autoscaler/machine_health.rs
@@ -96,12 +96,12 @@
             (now - machine.last_heartbeat_at).max(unacknowledged_s)
         };
         let up = || self.machines.values().filter(|machine| machine.up);
-        let patience_s = self.settings.workers.lease_s / 2.0;
+        let min_silent_s = self.settings.workers.lease_s / 2.0;
         let silent = up()
-            .filter(|machine| silent_s(machine) > patience_s)
+            .filter(|machine| silent_s(machine) > min_silent_s)
             .count();
-        let most = up().count() as f64 * limits::SILENT_DELETE_SHARE_MAX;
-        silent as f64 > most.max(MIN_SILENT_FOR_PARTITION)
+        let max_silent = up().count() as f64 * limits::SILENT_DELETE_SHARE_MAX;
+        silent as f64 > max_silent.max(MIN_SILENT_FOR_PARTITION)
     }
 
     /// Whether work is pending that may run. Suspect jobs don't count: they are tried one task at
@@ -154,8 +154,8 @@
     /// leader allows each machine the time of one boot to send its first heartbeat.
     fn boot_failed(&self, machine: &Machine, now: f64) -> bool {
         let boot_s = boot_s(&self.machine_types, &machine.machine_type);
-        let patience_s = boot_s * limits::BOOT_GIVE_UP_FACTOR + limits::BOOT_GIVE_UP_EXTRA_S;
-        now - machine.created_at > patience_s && now - self.term_started_at > boot_s
+        let max_boot_s = boot_s * limits::BOOT_GIVE_UP_FACTOR + limits::BOOT_GIVE_UP_EXTRA_S;
+        now - machine.created_at > max_boot_s && now - self.term_started_at > boot_s
     }
 }
 
--- a/crates/control/src/leader/autoscaler/mod.rs
+++ b/crates/control/src/leader/autoscaler/mod.rs
@@ -63,12 +63,12 @@
 
     fn update(&mut self, wanted_cpus: f64, now: f64) {
         let elapsed_s = now - self.updated_at;
-        let approach = |average: &mut f64, time_constant_s: f64| {
+        let update_average = |average: &mut f64, time_constant_s: f64| {
             *average += (wanted_cpus - *average) * (1.0 - libm::exp(-elapsed_s / time_constant_s));
         };
-        approach(&mut self.for_rental_cpus, limits::SCALE_OUT_AVERAGE_S);
-        approach(&mut self.for_return_cpus, limits::SCALE_IN_AVERAGE_S);
-        approach(&mut self.for_hold_cpus, limits::BEST_EFFORT_HOLD_AVERAGE_S);
+        update_average(&mut self.for_rental_cpus, limits::SCALE_OUT_AVERAGE_S);
+        update_average(&mut self.for_return_cpus, limits::SCALE_IN_AVERAGE_S);
+        update_average(&mut self.for_hold_cpus, limits::BEST_EFFORT_HOLD_AVERAGE_S);
         self.updated_at = now;
     }
 }
@@ -88,7 +88,7 @@
     /// When a rental last yielded at least half of the machines that it requested, and at least
     /// `limits::admission::SCALE_OUT_MACHINES_MIN`. Until the first such rental: the start of the
     /// term, or minus infinity if an earlier leader knew that the cloud has no more machines.
-    grew_at: f64,
+    last_growth_at: f64,
 }
 
 impl Autoscaler {
@@ -100,7 +100,7 @@
             refused_until: HashMap::new(),
             demand_averages: None,
             overdue_boot_pools: BTreeSet::new(),
-            grew_at: if fleet_at_capacity {
+            last_growth_at: if fleet_at_capacity {
                 f64::NEG_INFINITY
             } else {
                 now
@@ -109,8 +109,8 @@
     }
 
     /// Returns when a rental last yielded many machines, on the leader's clock.
-    pub(super) fn grew_at(&self) -> f64 {
-        self.grew_at
+    pub(super) fn last_growth_at(&self) -> f64 {
+        self.last_growth_at
     }
 
     /// Updates the averages with the CPUs wanted now. If no CPUs were wanted before, the averages
@@ -137,11 +137,11 @@
         format!("r-{term}-{}", self.rental_requests)
     }
 
-    /// Records the response to a rental, which yielded so many machines.
+    /// Records the response to a rental, which yielded `machines` machines.
     fn record_rental(&mut self, rental: &RentalRequest, machines: usize, now: f64) {
-        let many = (rental.count / 2).max(limits::admission::SCALE_OUT_MACHINES_MIN);
-        if machines as u32 >= many {
-            self.grew_at = now;
+        let growth_threshold = (rental.count / 2).max(limits::admission::SCALE_OUT_MACHINES_MIN);
+        if machines as u32 >= growth_threshold {
+            self.last_growth_at = now;
         }
         if machines < rental.count as usize {
             let pool = InstancePool {
@@ -163,7 +163,7 @@
         self.refused_until.contains_key(pool)
     }
 
-    fn boots_are_overdue(&self, pool: &InstancePool) -> bool {
+    fn has_overdue_boots(&self, pool: &InstancePool) -> bool {
         self.overdue_boot_pools.contains(&BootPool {
             machine_type: pool.machine_type.clone(),
             zone: pool.zone.clone(),
--- a/crates/control/src/leader/autoscaler/overdue_boots.rs
+++ b/crates/control/src/leader/autoscaler/overdue_boots.rs
@@ -22,7 +22,7 @@
 
 impl BootCount {
     /// Whether there are enough machines to judge and most of them are not up.
-    fn mostly_overdue(self) -> bool {
+    fn is_mostly_overdue(self) -> bool {
         self.due >= limits::BOOT_EVIDENCE_MACHINES_MIN && self.overdue * 2 > self.due
     }
 }
@@ -40,7 +40,7 @@
 /// some 300 overdue boots after each failover under the operators' daily load, and healthy zones
 /// were avoided. So the cloud's list must show the machine as booting, or this leader must have
 /// rented it itself.
-fn boot_was_observed(machine: &Machine) -> bool {
+fn is_boot_observed(machine: &Machine) -> bool {
     let booting = machine.listed_as_booting && !machine.known_from_ledger;
     machine.rented_this_term || machine.first_listed_at.is_some() && (machine.up || booting)
 }
@@ -54,10 +54,9 @@
         for machine in self.machines.values_mut() {
             let boot_s = boot_s(&self.machine_types, &machine.machine_type);
             let age_s = now - machine.created_at - limits::FIRST_HEARTBEAT_MAX_S;
-            let tells_something =
+            let evidence_window =
                 boot_s * limits::BOOT_OVERDUE_FACTOR..boot_s * limits::BOOT_EVIDENCE_FACTOR;
-            if machine.deleting || !boot_was_observed(machine) || !tells_something.contains(&age_s)
-            {
+            if machine.deleting || !is_boot_observed(machine) || !evidence_window.contains(&age_s) {
                 continue;
             }
             let pool = BootPool {
@@ -86,7 +85,7 @@
                 );
             }
         }
-        counts.retain(|_, count| count.mostly_overdue());
+        counts.retain(|_, count| count.is_mostly_overdue());
         self.autoscaler.overdue_boot_pools = counts.into_keys().collect();
     }
 }
--- a/crates/control/src/leader/autoscaler/scale_in.rs
+++ b/crates/control/src/leader/autoscaler/scale_in.rs
@@ -28,13 +28,14 @@
     /// Derives the wanted CPUs from the current demand of all work and of prioritized work, and
     /// from the averages of the latter.
     pub(super) fn new(all: f64, prioritized: f64, averages: DemandAverages) -> WantedCpus {
-        let kept = prioritized.max(averages.for_return_cpus);
+        let prioritized_kept = prioritized.max(averages.for_return_cpus);
         // If best-effort work can use them, on-demand machines are held through lulls that are
         // too short to pay for returning them and booting others.
         let best_effort = all - prioritized;
         WantedCpus {
             spot: all.max(averages.for_return_cpus),
-            on_demand: kept.max(averages.for_hold_cpus.min(kept + best_effort)),
+            on_demand: prioritized_kept
+                .max(averages.for_hold_cpus.min(prioritized_kept + best_effort)),
         }
     }
 
@@ -76,19 +77,19 @@
                 continue;
             }
             active_cpus += fleet_machine.cpus;
-            if self.can_be_emptied(machine) {
+            if self.can_be_drained(machine) {
                 removable.push(fleet_machine);
             }
         }
         scaling_in.sort_by(|a, b| a.waste.total_cmp(&b.waste));
-        active_cpus = self.take_back(&scaling_in, wanted, active_cpus);
+        active_cpus = self.cancel_scale_in(&scaling_in, wanted, active_cpus);
         removable.sort_by(|a, b| b.waste.total_cmp(&a.waste));
-        self.empty_machines(&removable, wanted, active_cpus);
+        self.begin_scale_in(&removable, wanted, active_cpus);
     }
 
     /// Stops draining machines, the least wasteful first, until the active machines suffice for
     /// the wanted CPUs. Returns the resulting active CPUs.
-    fn take_back(
+    fn cancel_scale_in(
         &mut self,
         scaling_in: &[FleetMachine],
         wanted: WantedCpus,
@@ -108,7 +109,7 @@
 
     /// Starts to drain machines, the most wasteful first, while the others suffice for the wanted
     /// CPUs with some to spare.
-    fn empty_machines(
+    fn begin_scale_in(
         &mut self,
         removable: &[FleetMachine],
         wanted: WantedCpus,
@@ -152,7 +153,7 @@
     }
 
     /// Whether every task placed on the machine may run on another machine instead.
-    fn can_be_emptied(&self, machine: &Machine) -> bool {
+    fn can_be_drained(&self, machine: &Machine) -> bool {
         machine.placements.iter().all(|placement| {
             let job = placement.job.and_then(|index| self.jobs.get(&index));
             job.is_none_or(|job| {
--- a/crates/control/src/leader/autoscaler/scale_out.rs
+++ b/crates/control/src/leader/autoscaler/scale_out.rs
@@ -15,7 +15,7 @@
     pub(super) fn scale_out(&mut self, now: f64) -> Vec<CloudCall> {
         let rentals = self.rentals_for_demand(now);
         if rentals.is_empty() {
-            self.rental_for_stranded_job(now).into_iter().collect()
+            self.rental_for_unplaceable_job(now).into_iter().collect()
         } else {
             rentals
         }
@@ -39,26 +39,27 @@
         // On-demand machines are rented only for demand that spot machines can't cover, and only
         // if the demand has lasted for a while.
         let offers = self.offers_for(&spec, now);
-        let is_expensive = |offer: &InstanceOffer| spec.allow_spot && !offer.spot;
-        let (expensive, cheap): (Vec<_>, Vec<_>) = offers.into_iter().partition(is_expensive);
-        let cheap_orders = plan_provisioning(shortage_cpus, &cheap);
-        let ordered_cpus: f64 = cheap_orders
+        let is_fallback = |offer: &InstanceOffer| spec.allow_spot && !offer.spot;
+        let (fallback_offers, preferred_offers): (Vec<_>, Vec<_>) =
+            offers.into_iter().partition(is_fallback);
+        let preferred_orders = plan_provisioning(shortage_cpus, &preferred_offers);
+        let ordered_cpus: f64 = preferred_orders
             .iter()
-            .map(|order| cheap[order.offer].cpus * f64::from(order.machines))
+            .map(|order| preferred_offers[order.offer].cpus * f64::from(order.machines))
             .sum();
         let lasting_cpus = self.autoscaler.lasting_demand_cpus(prioritized_cpus);
         let shortage_cpus = lasting_cpus - existing_cpus - ordered_cpus;
-        let smallest_cpus = expensive
+        let smallest_cpus = fallback_offers
             .iter()
             .map(|offer| offer.cpus)
             .fold(f64::INFINITY, f64::min);
-        let expensive_orders = if shortage_cpus >= smallest_cpus / 2.0 {
-            plan_provisioning(shortage_cpus, &expensive)
+        let fallback_orders = if shortage_cpus >= smallest_cpus / 2.0 {
+            plan_provisioning(shortage_cpus, &fallback_offers)
         } else {
             Vec::new()
         };
-        let mut rentals = self.rentals(&cheap, &cheap_orders);
-        rentals.extend(self.rentals(&expensive, &expensive_orders));
+        let mut rentals = self.rentals(&preferred_offers, &preferred_orders);
+        rentals.extend(self.rentals(&fallback_offers, &fallback_orders));
         rentals
     }
 
@@ -72,8 +73,8 @@
     }
 
     /// Returns the rental of one machine for a job that no existing machine could run.
-    fn rental_for_stranded_job(&mut self, now: f64) -> Option<CloudCall> {
-        let job = self.stranded_job(now)?;
+    fn rental_for_unplaceable_job(&mut self, now: f64) -> Option<CloudCall> {
+        let job = self.unplaceable_job(now)?;
         let spec = job.spec.clone();
         let mut offers = self.offers_for(&spec, now);
         let job = self.jobs.by_id(&spec.id)?;
@@ -90,29 +91,29 @@
     /// Returns a job that has been pending for a while and that no existing machine could run.
     /// Demand is counted in CPUs, of which there may be enough of the wrong kind, or the job may
     /// want too few to be worth an on-demand machine; without this the job would wait forever.
-    fn stranded_job(&self, now: f64) -> Option<&Job> {
+    fn unplaceable_job(&self, now: f64) -> Option<&Job> {
         let ranges = self.pending_queue.ranges();
         let jobs = ranges.filter_map(|range| self.jobs.get(&range.job));
         jobs.filter(|job| {
-            let patience_s = if job.best_effort {
+            let min_wait_s = if job.best_effort {
                 limits::UNPLACEABLE_BEST_EFFORT_RENT_AFTER_S
             } else {
                 limits::UNPLACEABLE_JOB_RENT_AFTER_S
             };
             let may_be_stuck = !job.is_placed() || self.is_bound_to_zones(job);
-            now - job.ready_at > patience_s
+            now - job.ready_at > min_wait_s
                 && may_be_stuck
                 && job.retry_at <= now
                 && !job.is_suspect()
         })
         .find(|job| {
             let mut machines = self.machines.iter();
-            !machines.any(|(name, machine)| self.could_take(name, machine, job))
+            !machines.any(|(name, machine)| self.could_run(name, machine, job))
         })
     }
 
     /// Whether the machine could run a task of the job, now or when other tasks end.
-    fn could_take(&self, name: &str, machine: &Machine, job: &Job) -> bool {
+    fn could_run(&self, name: &str, machine: &Machine, job: &Job) -> bool {
         !machine.cordoned
             && !machine.deleting
             && machine_allowed(&job.spec, machine)
@@ -212,7 +213,7 @@
             price_per_h,
             boot_s: machine_type.boot_s,
             existing_machines: existing.count() as u32,
-            boots_overdue: self.autoscaler.boots_are_overdue(&pool),
+            boots_overdue: self.autoscaler.has_overdue_boots(&pool),
             machine_type: pool.machine_type,
             zone: pool.zone,
             spot,
--- a/crates/control/src/leader/preemption.rs
+++ b/crates/control/src/leader/preemption.rs
@@ -140,12 +140,12 @@
 
     /// Whether the image of a job that lacks room is cached on the machine.
     fn has_image_of(&self, machine: &Machine, shortage: &Shortage, now: f64) -> bool {
-        let wants = |image: u64| {
+        let is_wanted = |image: u64| {
             let mut jobs = shortage.jobs.iter().filter_map(|job| self.jobs.get(job));
             jobs.any(|job| job.image_id == image)
         };
         let mut images = machine.cached_images.iter();
-        images.any(|image| image.ready_at <= now && wants(image.id))
+        images.any(|image| image.ready_at <= now && is_wanted(image.id))
     }
 
     /// Marks tasks for eviction until their CPUs cover the shortage. Only the CPUs that a team
--- a/crates/control/src/leader/scheduler/candidates.rs
+++ b/crates/control/src/leader/scheduler/candidates.rs
@@ -33,8 +33,8 @@
 ) -> Vec<CandidateMachine<'a>> {
     let mut candidates = Vec::new();
     for (name, machine) in machines {
-        let leaving = machine.cordoned || machine.scaling_in || machine.deleting;
-        if !machine.up || leaving || !machine.is_reachable(now, settings) {
+        let is_leaving = machine.cordoned || machine.scaling_in || machine.deleting;
+        if !machine.up || is_leaving || !machine.is_reachable(now, settings) {
             continue;
         }
         let Some(machine_type) = machine_types
--- a/crates/control/src/leader/scheduler/groups.rs
+++ b/crates/control/src/leader/scheduler/groups.rs
@@ -44,7 +44,7 @@
             self.place_gang(pending);
             return;
         }
-        let Some(choice) = self.machine_now(pending, selection, order) else {
+        let Some(choice) = self.choose_machine(pending, selection, order) else {
             return;
         };
         let Some(job) = self.jobs.get(&selection.job) else {
@@ -86,7 +86,7 @@
 
     /// Returns the machine on which a task of the job is placed now; None if the job has to
     /// wait, which is then recorded in its `PendingJob`.
-    fn machine_now(
+    fn choose_machine(
         &mut self,
         pending: usize,
         selection: &Selection<JobIndex>,
@@ -137,9 +137,9 @@
         }
         let pending = &self.pending[pending];
         let waited_s = self.now - selection.waiting_since;
-        let at_hand = self
+        let is_cached_somewhere = self
             .image_fetches
-            .images_at_hand
+            .cached_image_ids
             .contains(&pending.image_id);
         match order {
             ServingOrder::ObjectiveAtRisk
@@ -155,13 +155,15 @@
             // Tasks end frequently on machines that have the image: a short wait for room on one
             // of them is better than a fetch, unless no machine has the image yet.
             ServingOrder::Any
-                if at_hand
+                if is_cached_somewhere
                     && waited_s
                         < limits::FETCH_ON_OTHER_MACHINE_AFTER_S.min(image_wait_s / 2.0) =>
             {
                 ImageDecision::Wait
             }
-            _ if at_hand && self.is_quota_held_by_fetches(pending.team) => ImageDecision::Wait,
+            _ if is_cached_somewhere && self.is_quota_held_by_fetches(pending.team) => {
+                ImageDecision::Wait
+            }
             _ => ImageDecision::Fetch,
         }
     }
@@ -209,7 +211,7 @@
         let mut cheapest: Option<(f64, MachineChoice)> = None;
         for (index, candidate) in self.candidates.iter().enumerate() {
             if zone.is_some_and(|zone| zone != candidate.machine.zone)
-                || !self.takes(candidate, job)
+                || !self.can_place_on(candidate, job)
             {
                 continue;
             }
@@ -235,7 +237,7 @@
     }
 
     /// Whether a task of the job may be placed on the machine and the machine has room for one.
-    fn takes(&self, candidate: &CandidateMachine, job: &Job) -> bool {
+    fn can_place_on(&self, candidate: &CandidateMachine, job: &Job) -> bool {
         let machine = &*candidate.machine;
         let spec = &job.spec;
         let is_recent = |failed_at: f64| self.now - failed_at < limits::FAILED_MACHINE_AVOIDED_S;
--- a/crates/control/src/leader/scheduler/minimum_shares.rs
+++ b/crates/control/src/leader/scheduler/minimum_shares.rs
@@ -20,8 +20,9 @@
             ..ServingMode::default()
         };
         for class in classes {
-            let of_class = self.by_remaining_work(|job| !job.blocked && job.tenant_class == *class);
-            for pending in of_class {
+            let jobs_of_class =
+                self.by_remaining_work(|job| !job.blocked && job.tenant_class == *class);
+            for pending in jobs_of_class {
                 while self.placed_cpus() < max_placed_cpus
                     && !self.candidates.is_empty()
                     && self.is_eligible(&self.pending[pending], QuotaBound::Limit)
--- a/crates/control/src/leader/scheduler/mod.rs
+++ b/crates/control/src/leader/scheduler/mod.rs
@@ -63,7 +63,7 @@
     /// For each team, in the order of the settings, the CPUs of placements that don't run yet.
     waiting_cpus_by_team: Vec<f64>,
     /// IDs of the images that are on any machine.
-    images_at_hand: HashSet<u64>,
+    cached_image_ids: HashSet<u64>,
 }
 
 /// The results of a pass that the next pass depends on.
@@ -172,12 +172,12 @@
             .map(|(index, team)| (team.name.as_str(), index))
             .collect();
         let mut waiting_cpus_by_team = vec![0.0; self.settings.teams.len()];
-        let mut images_at_hand = HashSet::new();
+        let mut cached_image_ids = HashSet::new();
         for machine in self.machines.values() {
             if !machine.up || machine.cordoned || machine.deleting {
                 continue;
             }
-            images_at_hand.extend(machine.cached_images.iter().map(|image| image.id));
+            cached_image_ids.extend(machine.cached_images.iter().map(|image| image.id));
             if !machine.placements.sums().has_not_running {
                 continue;
             }
@@ -189,7 +189,7 @@
         }
         ImageFetches {
             waiting_cpus_by_team,
-            images_at_hand,
+            cached_image_ids,
         }
     }
 
--- a/crates/control/src/leader/scheduler/ordering.rs
+++ b/crates/control/src/leader/scheduler/ordering.rs
@@ -38,10 +38,10 @@
     ) {
         for bound in [QuotaBound::Guarantee, QuotaBound::Limit] {
             for band in bands {
-                let comes_last = band.priority == Priority::Low && bound == QuotaBound::Limit;
-                self.mode.prioritized_work_only = comes_last;
+                let is_last = band.priority == Priority::Low && bound == QuotaBound::Limit;
+                self.mode.prioritized_work_only = is_last;
                 self.serve_band(bound, band);
-                if comes_last {
+                if is_last {
                     self.mode = ServingMode {
                         reserved_cpus: best_effort_reserve_cpus + self.prioritized_pending_cpus(),
                         ..ServingMode::default()
@@ -133,10 +133,12 @@
     /// Whether a task of the range may be placed now, in this order.
     fn is_servable(&self, range: &PendingRange, bound: QuotaBound, order: ServingOrder) -> bool {
         let job = &self.pending[range.pending];
-        let yields = order != ServingOrder::Any
+        let yields_to_others = order != ServingOrder::Any
             && job.yields_to_cached
             && self.may_be_passed(job, range.waiting_since);
-        !yields && self.is_eligible(job, bound) && self.queue.get(range.position).is_some()
+        !yields_to_others
+            && self.is_eligible(job, bound)
+            && self.queue.get(range.position).is_some()
     }
 
     /// Whether other jobs whose image is cached may go before the job.
--- a/crates/control/src/leader/summary.rs
+++ b/crates/control/src/leader/summary.rs
@@ -24,26 +24,26 @@
         let placed: usize = self.machines.values().map(|m| m.placements.len()).sum();
         let up = self.machines.values().filter(|m| m.up).count();
         let waiting = self.queue_lengths();
-        let all = |m: &&Machine| m.up && !m.deleting;
+        let is_active = |m: &&Machine| m.up && !m.deleting;
         let cpus: f64 = self
             .machines
             .values()
-            .filter(all)
+            .filter(is_active)
             .map(|m| self.cpus_of(&m.machine_type))
             .sum();
-        let dear = self.machines.values().filter(|m| !m.spot).count();
-        let rows = || self.machines.values().flat_map(|m| m.placements.iter());
-        let used: f64 = rows().map(|p| p.cpus).sum();
-        let running: f64 = rows().filter(|p| p.running).map(|p| p.cpus).sum();
+        let on_demand = self.machines.values().filter(|m| !m.spot).count();
+        let placements = || self.machines.values().flat_map(|m| m.placements.iter());
+        let used: f64 = placements().map(|p| p.cpus).sum();
+        let running: f64 = placements().filter(|p| p.running).map(|p| p.cpus).sum();
         // The CPUs that each team uses, its limit, and the used CPUs whose tasks don't run yet.
         let teams: Vec<String> = self
             .settings
             .teams
             .iter()
             .map(|t| {
-                let of = |p: &&Placement| p.team == t.name;
-                let idle: f64 = rows()
-                    .filter(of)
+                let of_team = |p: &&Placement| p.team == t.name;
+                let idle: f64 = placements()
+                    .filter(of_team)
                     .filter(|p| !p.running)
                     .map(|p| p.cpus)
                     .sum();
@@ -52,8 +52,9 @@
             })
             .collect();
         format!(
-            "{} jobs ({} suspect, {} for others), {} machines ({} up, {dear} dear), {placed} placed, waiting {waiting:?}, \
-             delayed {}, cpus {cpus} up, {used} placed, {running} running, {:.0} wanted, {}; {}; {}",
+            "{} jobs ({} suspect, {} awaiting dependencies), {} machines ({} up, \
+             {on_demand} on-demand), {placed} placed, waiting {waiting:?}, delayed {}, cpus {cpus} \
+             up, {used} placed, {running} running, {:.0} wanted, {}; {}; {}",
             self.jobs.len(),
             self.jobs.values().filter(|j| j.is_suspect()).count(),
             self.jobs
--- a/crates/control/src/shard_owner.rs
+++ b/crates/control/src/shard_owner.rs
@@ -23,7 +23,7 @@
 struct ObservedMachine {
     incarnation: u64,
     sequence: u64,
-    heard_at: f64,
+    last_heartbeat_at: f64,
     /// When each running attempt of a task, by task and attempt number, was first seen running.
     running_since: HashMap<(String, u64), f64>,
 }
@@ -83,7 +83,7 @@
             });
         };
         let token = response.fencing_token;
-        if response.commands.iter().any(ends_at_once) {
+        if response.commands.iter().any(is_immediate_stop) {
             // This response may be given although it doesn't extend the lease. If both the
             // response and the leader are lost, the work ends with the worker's lease.
             self.must_deliver_stops(machine, token);
@@ -130,7 +130,7 @@
         }
         observed.incarnation = heartbeat.incarnation;
         observed.sequence = heartbeat.sequence;
-        observed.heard_at = now;
+        observed.last_heartbeat_at = now;
         let mut finished = Vec::new();
         let mut running_since = HashMap::new();
         for task in &heartbeat.tasks {
@@ -154,13 +154,13 @@
     /// the leases that expired at least `after_s` ago.
     pub fn forget_silent(&mut self, now: f64, after_s: f64) {
         self.observed
-            .retain(|_, observed| now - observed.heard_at < after_s);
+            .retain(|_, observed| now - observed.last_heartbeat_at < after_s);
         self.leases
             .retain(|_, lease| now < lease.expires_at + after_s);
     }
 }
 
 /// Whether the command stops work that must not continue, without time to save a checkpoint.
-fn ends_at_once(command: &Command) -> bool {
+fn is_immediate_stop(command: &Command) -> bool {
     matches!(command, Command::Stop { grace_s, .. } if *grace_s <= 0.0)
 }
