--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -8,17 +8,17 @@
 //! | `n/<job>/<slot>/<n>` | chunks of a submission too large for one value | any controller, on submission |
 //! | `f/<job>` | the final state of a job | any controller, once |
 //! | `w/<entry>` | an entry of the placement ledger, hexadecimal | the leader |
-//! | `p/<job>`, `p/<job>/<n>` | finished tasks of a live job, whole or in chunks | the leader |
+//! | `p/<job>`, `p/<job>/<n>` | finished tasks of a live job, whole or in parts | the leader |
 //! | `h/all`, `h/images`, `h/admission` | run-time histograms, image locations, admission table | the leader |
 //! | `v/<label>` | the protocol version of a controller | that controller |
 //!
 //! A value under `h/` that is too large for one value is written as chunks under the prefix
-//! [`parts`].
+//! [`chunk_prefix`].
 
 /// Key of the leader of the current term, under its lease.
 pub const LEADER: &str = "L/leader";
 /// Key of the number of the last term, which outlives the leader key.
-pub const EPOCH: &str = "L/epoch";
+pub const LAST_TERM: &str = "L/epoch";
 /// Prefix of the live jobs.
 pub const JOBS: &str = "j/";
 /// Prefix of the placement ledger's entries.
@@ -47,7 +47,7 @@
 }
 
 /// Returns the key of the final state of a job.
-pub fn ended(id: &str) -> String {
+pub fn final_state(id: &str) -> String {
     format!("f/{id}")
 }
 
@@ -56,7 +56,7 @@
     format!("{PROGRESS}{id}")
 }
 
-/// Returns the key of one chunk of the finished tasks of a job; chunk 0 is the whole, or the first
+/// Returns the key of one part of the finished tasks of a job; part 0 is the whole, or the first
 /// of several.
 pub fn progress_part(id: &str, part: u32) -> String {
     match part {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns the job and the chunk of a progress key; `None` for any other key.
+/// Returns the job and the part of a progress key; `None` for any other key.
 pub fn progress_of(key: &str) -> Option<(&str, u32)> {
     let rest = key.strip_prefix(PROGRESS)?;
     match rest.split_once('/') {
@@ -76,11 +76,11 @@
 
 /// Returns the prefix of the chunks of a value that is too large for `key`. Successive values use
 /// different slots, so that a reader never mixes the chunks of two values.
-pub fn parts(key: &str, slot: u64) -> String {
+pub fn chunk_prefix(key: &str, slot: u64) -> String {
     format!("{key}/{slot}/")
 }
 
-/// Returns the key that is passed to [`parts`] for the chunks of a large submission.
+/// Returns the key that is passed to [`chunk_prefix`] for the chunks of a large submission.
 pub fn submission(id: &str) -> String {
     format!("{SUBMISSIONS}{id}")
 }
--- a/crates/control/src/leader/admitting.rs
+++ b/crates/control/src/leader/admitting.rs
@@ -12,7 +12,7 @@
 impl Leader {
     /// Returns the expected CPU seconds of a whole job.
     pub(super) fn expected_work(&self, spec: &Submission) -> f64 {
-        work(spec, self.predictor.median_s(&spec.predictor_key()))
+        expected_work(spec, self.predictor.median_s(&spec.predictor_key()))
     }
 
     /// Recomputes the admission table; returns it if it changed enough to be published.
@@ -229,7 +229,7 @@
 
 /// Returns the expected CPU seconds of a whole job, from the learned median of its key or, without
 /// one, its owner's estimate.
-pub fn work(spec: &Submission, median: Option<f64>) -> f64 {
+fn expected_work(spec: &Submission, median: Option<f64>) -> f64 {
     let run_s = match spec.kind {
         JobKind::Service => bounds::SERVICE_TASK_WORK_S,
         _ => median.unwrap_or(spec.estimate_s).max(1.0),
@@ -239,9 +239,9 @@
 
 /// Returns the expected CPU seconds of a whole job as other controllers compute them, from the
 /// medians in the admission table.
-pub fn work_by_table(table: &AdmissionTable, spec: &Submission) -> f64 {
+pub fn expected_work_from_table(table: &AdmissionTable, spec: &Submission) -> f64 {
     let key = stable_hash(&spec.predictor_key());
     let medians = &table.median_runtimes;
     let at = medians.binary_search_by_key(&key, |m| m.key_hash);
-    work(spec, at.ok().map(|at| f64::from(medians[at].median_s)))
+    expected_work(spec, at.ok().map(|at| f64::from(medians[at].median_s)))
 }
--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -192,7 +192,7 @@
                     revision: job.revision,
                 },
                 Guard {
-                    key: keys::ended(id),
+                    key: keys::final_state(id),
                     revision: 0,
                 },
             ]);
@@ -204,7 +204,7 @@
             batch.txn.changes.extend([
                 Change::Delete { key: keys::job(id) },
                 Change::Put {
-                    key: keys::ended(id),
+                    key: keys::final_state(id),
                     value: StoredRecord::FinalState(value),
                     lease: None,
                 },
--- a/crates/control/src/leader/job_batch.rs
+++ b/crates/control/src/leader/job_batch.rs
@@ -116,7 +116,7 @@
             tasks: job.spec.tasks,
             ended_at_ms: at_ms,
         };
-        self.put(keys::ended(id), StoredRecord::FinalState(record));
+        self.put(keys::final_state(id), StoredRecord::FinalState(record));
         crate::trace_job!(id, "final state on its way");
         self.batch.finals.push((index, id.clone()));
         job.write_in_flight = true;
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -51,7 +51,7 @@
 mod transactions;
 mod worker_restarts;
 
-pub use admitting::work_by_table;
+pub use admitting::expected_work_from_table;
 pub use dependencies::COUNTS_WITHHELD;
 pub use direct_commands::{AddressedCommands, CommandOutcome};
 pub use job_batch::JobBatch;
@@ -154,7 +154,7 @@
         };
         let book = AdmissionController::new(epoch, from.admission.clone().unwrap_or_default(), now);
         let book_full = book.at_capacity();
-        let kept = settings.state.kept();
+        let kept = settings.state.conservative_limits();
         let team_count = settings.teams.len();
         let mut leader = Leader {
             store_limits: kept,
--- a/crates/control/src/leader/progress.rs
+++ b/crates/control/src/leader/progress.rs
@@ -109,7 +109,7 @@
         let keys = parts.map(|part| keys::progress_part(id, part));
         self.obsolete_keys.extend(keys);
         if let Some(chunks) = job.submission_parts {
-            let prefix = keys::parts(&keys::submission(id), chunks.slot);
+            let prefix = keys::chunk_prefix(&keys::submission(id), chunks.slot);
             let keys = (0..chunks.count).map(|chunk| format!("{prefix}{chunk}"));
             self.obsolete_keys.extend(keys);
         }
--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -37,7 +37,7 @@
 impl Leadership {
     /// Records that this process holds the leader key under `lease_id`, a lease requested at
     /// `sent`. Drops the proofs of an earlier term.
-    pub fn acquired(&mut self, lease_id: u64, sent: f64, timing: &LeaseTiming) {
+    pub fn leader_key_acquired(&mut self, lease_id: u64, sent: f64, timing: &LeaseTiming) {
         *self = Leadership {
             lease_id,
             lease_expires_at: lease_expiry(sent, timing),
@@ -47,7 +47,7 @@
     }
 
     /// Records that this process no longer leads.
-    pub fn lost(&mut self) {
+    pub fn leader_key_lost(&mut self) {
         *self = Leadership::default();
     }
 
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -101,7 +101,7 @@
 impl StateLimits {
     /// Returns the limits to observe so that none is exceeded whenever the announced ones take
     /// effect.
-    pub fn kept(&self) -> StoreLimits {
+    pub fn conservative_limits(&self) -> StoreLimits {
         let now = ConfiguredLimits {
             rps: self.rps,
             write_rps: self.write_rps,
--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cherrywood_admission::{MedianRuntime, Shortage, stable_hash};
-use cherrywood_control::leader::{CloudCall, work_by_table};
+use cherrywood_control::leader::{CloudCall, expected_work_from_table};
 use cherrywood_control::{Leader, Settings, keys};
 use cherrywood_wire::agent::ExitCause;
 use cherrywood_wire::records::StoredRecord;
@@ -200,13 +200,13 @@
         table.median_runtimes.is_empty(),
         "nobody measured run times here"
     );
-    assert_eq!(work_by_table(&table, &spec), 2.0 * 8.0 * 9999.0);
+    assert_eq!(expected_work_from_table(&table, &spec), 2.0 * 8.0 * 9999.0);
     let mut taught = table.clone();
     taught.median_runtimes = vec![MedianRuntime {
         key_hash: stable_hash(&spec.predictor_key()),
         median_s: 10.0,
     }];
-    assert_eq!(work_by_table(&taught, &spec), 160.0);
+    assert_eq!(expected_work_from_table(&taught, &spec), 160.0);
     // Machines come: nothing is short any more.
     for call in f.leader.autoscale(now + 20.0) {
         if let CloudCall::Rent(rent) = call {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -157,11 +157,11 @@
             tasks,
             ended_at_ms: at_ms,
         };
-        self.put(&keys::ended(id), StoredRecord::FinalState(value));
+        self.put(&keys::final_state(id), StoredRecord::FinalState(value));
     }
 
     pub fn ended(&self, id: &str) -> Option<JobState> {
-        match self.records.get(&keys::ended(id)) {
+        match self.records.get(&keys::final_state(id)) {
             Some((StoredRecord::FinalState(f), _)) => Some(f.state),
             _ => None,
         }
--- a/crates/control/tests/controller_failovers.rs
+++ b/crates/control/tests/controller_failovers.rs
@@ -197,7 +197,8 @@
             });
             let leader = self.store.elect_over(settings(), self.epoch, overlap, now);
             let node = &mut self.nodes[n];
-            node.leadership.acquired(lease, now, &self.timing);
+            node.leadership
+                .leader_key_acquired(lease, now, &self.timing);
             node.leadership.view_completed(lease, now);
             node.leader = Some(leader);
             self.meet("leader begins");
@@ -222,14 +223,14 @@
                 node.leadership.lease_renewed(lease, now, &timing);
             }
             _ => {
-                node.leadership.lost();
+                node.leadership.leader_key_lost();
                 node.leader = None;
                 return;
             }
         }
         if node.leadership.renewed_without_view_s(now) > cherrywood_limits::RENEW_WITHOUT_VIEW_MAX_S
         {
-            node.leadership.lost();
+            node.leadership.leader_key_lost();
             node.leader = None;
             self.key = None;
             self.meet("blind leader gives up");
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -34,7 +34,7 @@
     heartbeat(&mut l, &mut s, &mut w, "n1", 3.0);
     assert!(w.tasks.is_empty());
     assert_eq!(s.revision_of(&keys::job("wk-000001")), 0);
-    match &s.records[&keys::ended("wk-000001")].0 {
+    match &s.records[&keys::final_state("wk-000001")].0 {
         StoredRecord::FinalState(f) => assert_eq!(f.state, JobState::Done),
         other => panic!("{other:?}"),
     }
@@ -735,5 +735,5 @@
     );
     assert!(l.keys_to_reread.is_empty());
     write_all(&mut l, &mut s);
-    assert!(s.records.contains_key(&keys::ended("wk-000001")));
+    assert!(s.records.contains_key(&keys::final_state("wk-000001")));
 }
--- a/crates/control/tests/leadership.rs
+++ b/crates/control/tests/leadership.rs
@@ -18,7 +18,7 @@
 #[test]
 fn a_leader_whose_lease_is_renewed_without_a_view_may_not_act() {
     let (t, mut leadership) = (timing(), Leadership::default());
-    leadership.acquired(7, 100.0, &t);
+    leadership.leader_key_acquired(7, 100.0, &t);
     assert!(
         leadership.may_write(100.1) && !leadership.may_act(100.1, &t),
         "it has seen nothing"
@@ -46,7 +46,7 @@
 #[test]
 fn after_an_outage_the_leader_acts_only_once_its_view_is_recent() {
     let (t, mut leadership) = (timing(), Leadership::default());
-    leadership.acquired(7, 0.0, &t);
+    leadership.leader_key_acquired(7, 0.0, &t);
     leadership.view_completed(7, 0.0);
     leadership.lease_renewed(7, 70.0, &t);
     assert!(leadership.may_write(70.1) && !leadership.may_act(70.1, &t));
@@ -64,15 +64,15 @@
 #[test]
 fn views_and_renewals_of_an_earlier_term_do_not_count() {
     let (t, mut leadership) = (timing(), Leadership::default());
-    leadership.acquired(7, 0.0, &t);
+    leadership.leader_key_acquired(7, 0.0, &t);
     leadership.view_completed(7, 0.5);
-    leadership.lost();
+    leadership.leader_key_lost();
     leadership.view_completed(7, 0.6);
     leadership.view_completed(0, 0.6);
     leadership.lease_renewed(7, 0.6, &t);
     leadership.lease_renewed(0, 0.6, &t);
     assert!(!leadership.may_write(0.7) && !leadership.may_act(0.7, &t));
-    leadership.acquired(8, 1.0, &t);
+    leadership.leader_key_acquired(8, 1.0, &t);
     leadership.view_completed(7, 1.1);
     assert!(leadership.may_write(1.2) && !leadership.may_act(1.2, &t));
 }
@@ -85,7 +85,7 @@
     for (lease, cancel) in [(10.0, 40.0), (22.0, 52.0), (15.25, 45.25)] {
         let t = LeaseTiming::new(lease, cancel);
         let (mut leadership, mut owner) = (Leadership::default(), ShardOwner::default());
-        leadership.acquired(7, 0.0, &t);
+        leadership.leader_key_acquired(7, 0.0, &t);
         leadership.view_completed(7, 10.0);
         let cancelled = 10.0;
         // The lease is renewed for ever, as if the watch alone were refused.
--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -402,7 +402,7 @@
 #[test]
 fn parts_that_a_record_names_meanwhile_are_not_swept() {
     let part = |s: &mut Store, id: &str| {
-        let key = format!("{}0", keys::parts(&keys::submission(id), 5));
+        let key = format!("{}0", keys::chunk_prefix(&keys::submission(id), 5));
         let text = String::new();
         let value = cherrywood_wire::chunks::ChunkRecord { set_id: 5, text };
         s.put(&key, StoredRecord::Chunk(value));
--- a/crates/control/tests/size.rs
+++ b/crates/control/tests/size.rs
@@ -88,7 +88,7 @@
     let all = fleet(5_000).into_iter().map(|w| w.name);
     assert!(all.take(names.len()).eq(names));
 
-    let mut kept = settings().state.kept();
+    let mut kept = settings().state.conservative_limits();
     kept.enable_chunks();
     l.set_store_limits(kept);
     let value = l.image_snapshot(60.0);
--- a/crates/node/src/admission_filter.rs
+++ b/crates/node/src/admission_filter.rs
@@ -9,7 +9,7 @@
     AdmissionRequest, AdmissionTable, Decision, JobHash, RecentRefusals, RefusalBatch, RefusedJob,
     TableVersion, decide, job_hash, tenant_class_id,
 };
-use cherrywood_control::leader::work_by_table;
+use cherrywood_control::leader::expected_work_from_table;
 use cherrywood_limits::admission as limits;
 use cherrywood_wire::user::Submission;
 use std::collections::BTreeMap;
@@ -61,7 +61,7 @@
         let request = AdmissionRequest {
             job: hash,
             class: tenant_class_id(&job.team, &job.class),
-            work_cpu_s: work_by_table(&inner.table, job),
+            work_cpu_s: expected_work_from_table(&inner.table, job),
             waited_s: inner.refusals.waited_s(hash, now),
         };
         decide(&inner.table, &request)
@@ -70,7 +70,7 @@
     /// This submission was refused here at `now`.
     pub fn record_refusal(&self, job: &Submission, now: f64) {
         let mut inner = lock(&self.inner);
-        let work = work_by_table(&inner.table, job);
+        let work = expected_work_from_table(&inner.table, job);
         let class = tenant_class_id(&job.team, &job.class);
         let hash = job_hash(&job.id);
         inner.refusals.record_local(hash, class, work, now);
--- a/crates/node/src/background/leader_election.rs
+++ b/crates/node/src/background/leader_election.rs
@@ -74,7 +74,7 @@
 async fn run_for_leader(node: &Arc<Node>) -> Result<CampaignResult, NetError> {
     let sent = node.now();
     let lease = node.store.grant_lease(node.timing.leader_lease_s).await?;
-    let (term, term_revision) = match node.store.get::<TermRecord>(keys::EPOCH).await? {
+    let (term, term_revision) = match node.store.get::<TermRecord>(keys::LAST_TERM).await? {
         Some(item) => (item.value.last_term + 1, item.revision),
         None => (1, 0),
     };
@@ -120,7 +120,10 @@
         revision,
     };
     Txn {
-        guards: vec![guard(keys::LEADER, 0), guard(keys::EPOCH, term_revision)],
+        guards: vec![
+            guard(keys::LEADER, 0),
+            guard(keys::LAST_TERM, term_revision),
+        ],
         changes: vec![
             Change::Put {
                 key: keys::LEADER.into(),
@@ -128,7 +131,7 @@
                 lease: Some(lease),
             },
             Change::Put {
-                key: keys::EPOCH.into(),
+                key: keys::LAST_TERM.into(),
                 value: StoredRecord::Term(term),
                 lease: None,
             },
--- a/crates/node/src/background/status_queries.rs
+++ b/crates/node/src/background/status_queries.rs
@@ -61,7 +61,7 @@
     for ((id, askers), counts) in batch.into_iter().zip(counts) {
         if existing.contains(&keys::job(&id)) {
             answer_all(askers, || live(counts));
-        } else if existing.contains(&keys::ended(&id)) {
+        } else if existing.contains(&keys::final_state(&id)) {
             node.host.spawn(answer_ended(node.clone(), id, askers));
         } else {
             answer_all(askers, || QueryAnswer::UnknownJob);
@@ -82,7 +82,9 @@
         timeout_s: deadline - node.now(),
     };
     let compare = || {
-        let keys = ids.iter().flat_map(|id| [keys::job(id), keys::ended(id)]);
+        let keys = ids
+            .iter()
+            .flat_map(|id| [keys::job(id), keys::final_state(id)]);
         node.store.existing_keys(keys, RequestPriority::Poll)
     };
     let keys = send_hedged(&node.host, &node.store.retries, policy, compare).await?;
--- a/crates/node/src/cancellations.rs
+++ b/crates/node/src/cancellations.rs
@@ -75,14 +75,14 @@
             revision: record.revision,
         },
         Guard {
-            key: keys::ended(id),
+            key: keys::final_state(id),
             revision: 0,
         },
     ];
     let changes = vec![
         Change::Delete { key: keys::job(id) },
         Change::Put {
-            key: keys::ended(id),
+            key: keys::final_state(id),
             value: StoredRecord::FinalState(value.clone()),
             lease: None,
         },
--- a/crates/node/src/chunked_values.rs
+++ b/crates/node/src/chunked_values.rs
@@ -25,7 +25,7 @@
     key: &str,
     chunks: ChunkSet,
 ) -> Result<Option<Vec<String>>, NetError> {
-    let prefix = keys::parts(key, chunks.slot);
+    let prefix = keys::chunk_prefix(key, chunks.slot);
     let rows = node.store.list::<ChunkRecord>(&prefix).await?.rows;
     let mut by_number: BTreeMap<u32, String> = BTreeMap::new();
     for row in rows {
@@ -119,7 +119,7 @@
 
 /// The changes that write these chunks.
 pub(crate) fn chunk_changes(key: &str, chunks: ChunkSet, texts: Vec<String>) -> Vec<Change> {
-    let prefix = keys::parts(key, chunks.slot);
+    let prefix = keys::chunk_prefix(key, chunks.slot);
     let set_id = chunks.set_id;
     let numbered = texts.into_iter().enumerate();
     numbered
--- a/crates/node/src/dependencies.rs
+++ b/crates/node/src/dependencies.rs
@@ -86,20 +86,21 @@
     };
     for some in unread.chunks(ids_at_once) {
         let ids = some.iter().copied().chain([&job.id]);
-        let keys = ids.flat_map(|id| [keys::job(id), keys::ended(id)]);
+        let keys = ids.flat_map(|id| [keys::job(id), keys::final_state(id)]);
         let existing = node
             .store
             .existing_keys(keys, RequestPriority::Critical)
             .await?;
         node.note_store_answer();
         let existing: HashSet<String> = existing.into_iter().collect();
-        if existing.contains(&keys::job(&job.id)) || existing.contains(&keys::ended(&job.id)) {
+        if existing.contains(&keys::job(&job.id)) || existing.contains(&keys::final_state(&job.id))
+        {
             return Ok(None);
         }
         for id in some {
             if existing.contains(&keys::job(id)) {
                 dependencies.live.push(id);
-            } else if existing.contains(&keys::ended(id)) {
+            } else if existing.contains(&keys::final_state(id)) {
                 dependencies.over.insert((*id).clone());
             } else {
                 return Err(Error::NeverAccepted((*id).clone()));
--- a/crates/node/src/job_queries.rs
+++ b/crates/node/src/job_queries.rs
@@ -52,7 +52,7 @@
     id: &str,
     priority: RequestPriority,
 ) -> Result<Option<FinalStateRecord>, NetError> {
-    let key = keys::ended(id);
+    let key = keys::final_state(id);
     let found = node
         .store
         .get_with_priority::<FinalStateRecord>(&key, priority)
@@ -133,9 +133,9 @@
     async fn read(node: &Node, first: &str) -> Result<FinalStatePage, NetError> {
         // The key without its last character sorts before `first`. The page begins after it,
         // so it may hold other jobs' keys before that of `first`.
-        let key = keys::ended(first);
+        let key = keys::final_state(first);
         let from = &key[..key.len() - 1];
-        let prefix = keys::ended("");
+        let prefix = keys::final_state("");
         let page: KeyValuePage<Readable<FinalStateRecord>> = node
             .store
             .list_page(&prefix, Some(from), limits::DEPENDENCY_CHECK_READS_MAX)
@@ -150,11 +150,11 @@
     /// Does it tell whether this job is over?
     fn covers(&self, id: &str) -> bool {
         let last_key = self.last_key.as_ref();
-        self.is_last_page || last_key.is_some_and(|last| keys::ended(id) <= *last)
+        self.is_last_page || last_key.is_some_and(|last| keys::final_state(id) <= *last)
     }
 
     /// How the job ended, if it did and its record can be read.
     fn take(&mut self, id: &str) -> Option<FinalStateRecord> {
-        self.by_key.remove(&keys::ended(id))?.ok(id)
+        self.by_key.remove(&keys::final_state(id))?.ok(id)
     }
 }
--- a/crates/node/src/job_records.rs
+++ b/crates/node/src/job_records.rs
@@ -45,7 +45,7 @@
 /// Guards that hold only while neither a live nor a final record of this job exists.
 fn guards_of_new_job(id: &str) -> Vec<Guard> {
     let absent = |key| Guard { key, revision: 0 };
-    vec![absent(keys::job(id)), absent(keys::ended(id))]
+    vec![absent(keys::job(id)), absent(keys::final_state(id))]
 }
 
 /// Writes the record of a new job, accepted at this time of day (ms). The answer is that of
@@ -98,7 +98,7 @@
     let txn = Txn {
         guards: guards_of_new_job(&job.id),
         changes: vec![put(
-            keys::ended(&job.id),
+            keys::final_state(&job.id),
             StoredRecord::FinalState(value.clone()),
         )],
     };
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -86,7 +86,12 @@
         };
         Node {
             timing: LeaseTiming::new(cluster.workers.lease_s, cluster.workers.cancel_s),
-            store: StoreClient::new(&host, services.state, cluster.state.kept(), nodes),
+            store: StoreClient::new(
+                &host,
+                services.state,
+                cluster.state.conservative_limits(),
+                nodes,
+            ),
             cloud: CloudClient::new(&host, services.cloud, cluster.cloud.rps),
             served_connections: ConnectionPool::new(pool_limits),
             peers: platform
--- a/crates/node/src/state/leader_term.rs
+++ b/crates/node/src/state/leader_term.rs
@@ -62,14 +62,14 @@
     /// The election was won: the leader's key is held under `lease`, which was asked for at
     /// `sent` (s). The leader's state is still to be recovered.
     pub fn begin(&mut self, lease: u64, sent: f64, timing: &LeaseTiming) {
-        self.leadership.acquired(lease, sent, timing);
+        self.leadership.leader_key_acquired(lease, sent, timing);
         self.unread_submissions.clear();
     }
 
     /// Gives leadership up. False if there was none to give up.
     pub fn end(&mut self) -> bool {
         let led = self.leader.take().is_some() || self.leadership.lease_id() != 0;
-        self.leadership.lost();
+        self.leadership.leader_key_lost();
         self.unread_submissions.clear();
         led
     }
--- a/crates/node/tests/answer_consistency.rs
+++ b/crates/node/tests/answer_consistency.rs
@@ -322,7 +322,7 @@
         tasks: 1,
         ended_at_ms: None,
     };
-    let (live, over) = (keys::job(id), keys::ended(id));
+    let (live, over) = (keys::job(id), keys::final_state(id));
     let guard = |key: &String, version| Guard {
         key: key.clone(),
         revision: version,
--- a/crates/node/tests/chunked_values.rs
+++ b/crates/node/tests/chunked_values.rs
@@ -117,7 +117,7 @@
             .await
             .unwrap();
         let slot = 1 - slot.unwrap().value.chunks.unwrap().slot;
-        let torn = format!("{}0", keys::parts(key, slot));
+        let torn = format!("{}0", keys::chunk_prefix(key, slot));
         let part = cherrywood_wire::chunks::ChunkRecord {
             set_id: 77,
             text: "half".into(),
--- a/crates/node/tests/dependencies.rs
+++ b/crates/node/tests/dependencies.rs
@@ -47,7 +47,10 @@
             ended_at_ms: at_ms,
         };
         cluster
-            .put_record(&keys::ended("wk-000006"), StoredRecord::FinalState(done))
+            .put_record(
+                &keys::final_state("wk-000006"),
+                StoredRecord::FinalState(done),
+            )
             .await;
         let long_after = job("wk-000007", &["wk-000006"]);
         assert_eq!(cluster.submit(&long_after).await, queued);
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -38,7 +38,7 @@
     let kept = |next: &str| {
         let text = EXAMPLE.replacen("txn_ops = 48", &format!("txn_ops = 48\n{next}"), 1);
         let k = Settings::platform(&text).unwrap().deployment.cluster.state;
-        let k = k.kept();
+        let k = k.conservative_limits();
         (k.rps, k.write_rps, k.value_bytes, k.txn_changes)
     };
     assert_eq!(kept(""), (200.0, 80.0, 32 * 1024, 48));
--- a/crates/node/tests/stalled_process.rs
+++ b/crates/node/tests/stalled_process.rs
@@ -69,7 +69,10 @@
         state.term.leader = Some(leader);
         state.leader_contact.known_leader = Some(node.label().to_string());
         let now = node.now();
-        state.term.leadership.acquired(5, now, &node.timing);
+        state
+            .term
+            .leadership
+            .leader_key_acquired(5, now, &node.timing);
         state.term.leadership.view_completed(5, now);
     }
     let frame = |seq| PeerRequest::Heartbeats {
@@ -103,7 +106,7 @@
     node.lock_state()
         .term
         .leadership
-        .acquired(5, since, &node.timing);
+        .leader_key_acquired(5, since, &node.timing);
     assert!(!answers(run(node.handle_peer_request(frame(2)))));
     assert_eq!(leads(run(node.handle_peer_request(hello()))), (false, 0));
     let counts = PeerRequest::TaskCounts { jobs: vec![] };
