--- a/crates/node/src/status_queries.rs
+++ b/crates/node/src/status_queries.rs
@@ -88,7 +88,7 @@
     /// If jobs were taken in the order of their ids, the last ones would starve while queries
     /// concern more jobs than a comparison can hold. In order of arrival a query waits only for
     /// the batches before it, regardless of later queries: `jobs queried at once / max_jobs`
-    /// times `POLL_BATCH_INTERVAL_S`.
+    /// times `STATUS_QUERY_BATCH_INTERVAL_S`.
     pub fn take_batch(&self, max_jobs: usize) -> QueryBatch {
         let mut queue = lock(&self.queue);
         let queue = &mut *queue;
