--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cherrywood_admission::{MedianRuntime, Shortage, stable_hash};
-use cherrywood_control::leader::{CloudCall, work_by_table};
+use cherrywood_control::leader::{CloudCall, expected_work_from_table};
 use cherrywood_control::{Leader, Settings, keys};
 use cherrywood_wire::agent::ExitCause;
 use cherrywood_wire::records::StoredRecord;
@@ -209,13 +209,13 @@
         table.median_runtimes.is_empty(),
         "no run times were measured"
     );
-    assert_eq!(work_by_table(&table, &spec), 2.0 * 8.0 * 9999.0);
+    assert_eq!(expected_work_from_table(&table, &spec), 2.0 * 8.0 * 9999.0);
     let mut with_median = table.clone();
     with_median.median_runtimes = vec![MedianRuntime {
         key_hash: stable_hash(&spec.predictor_key()),
         median_s: 10.0,
     }];
-    assert_eq!(work_by_table(&with_median, &spec), 160.0);
+    assert_eq!(expected_work_from_table(&with_median, &spec), 160.0);
     // Machines are rented, so there is no shortage any more.
     for call in fleet.leader.autoscale(now + 20.0) {
         if let CloudCall::Rent(rent) = call {
--- a/crates/node/src/background/status_queries.rs
+++ b/crates/node/src/background/status_queries.rs
@@ -64,7 +64,7 @@
     for ((id, waiters), counts) in batch.into_iter().zip(counts) {
         if existing.contains(&keys::job(&id)) {
             respond_to_all(waiters, || live(counts));
-        } else if existing.contains(&keys::ended(&id)) {
+        } else if existing.contains(&keys::final_state(&id)) {
             node.host.spawn(respond_ended(node.clone(), id, waiters));
         } else {
             respond_to_all(waiters, || QueryResult::UnknownJob);
@@ -85,7 +85,9 @@
         timeout_s: deadline - node.now(),
     };
     let compare = || {
-        let keys = ids.iter().flat_map(|id| [keys::job(id), keys::ended(id)]);
+        let keys = ids
+            .iter()
+            .flat_map(|id| [keys::job(id), keys::final_state(id)]);
         node.store.existing_keys(keys, RequestPriority::Poll)
     };
     let keys = send_hedged(&node.host, &node.store.retries, policy, compare).await?;
--- a/crates/node/tests/dependencies.rs
+++ b/crates/node/tests/dependencies.rs
@@ -46,7 +46,10 @@
             ended_at_ms: None,
         };
         cluster
-            .put_record(&keys::ended("wk-000006"), StoredRecord::FinalState(done))
+            .put_record(
+                &keys::final_state("wk-000006"),
+                StoredRecord::FinalState(done),
+            )
             .await;
         let accepted = job("wk-000007", &["wk-000006"]);
         assert_eq!(cluster.submit(&accepted).await, queued);
