--- a/crates/admission/src/decision.rs
+++ b/crates/admission/src/decision.rs
@@ -10,7 +10,7 @@
 /// Bits by which a job's hash is rotated for the gate of the largest jobs, so that one hash gives
 /// an independent pseudo-random number for each decision that needs one.
 const LARGEST_JOBS_ROTATION: u32 = 29;
-/// The same for the spread of retries.
+/// Bits by which a job's hash is rotated for the spread of retries.
 const RETRY_SPREAD_ROTATION: u32 = 17;
 
 /// A request to admit a job.
--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -102,11 +102,11 @@
 /// their tasks fits.
 pub const UNDER_SERVED_SAVED_CPU_SHARE: f64 = 0.05;
 
-/// Share of a class's horizon (its time for completion) after which a waiting job counts as
-/// overdue in the search for under-served classes.
+/// Share of a class's completion target after which a waiting job counts as overdue in the search
+/// for under-served classes.
 pub const LATE_AFTER_HORIZON_SHARE: f64 = 0.3;
 
-/// Number of task run times added to the horizon if no objective covers the class.
+/// Number of task run times added to the completion target if no objective covers the class.
 pub const UNCOVERED_CLASS_EXTRA_RUN_TIMES: f64 = 3.0;
 
 /// Run time in seconds assumed for a task of a service when its work is computed.
--- a/crates/limits/src/autoscaler.rs
+++ b/crates/limits/src/autoscaler.rs
@@ -48,7 +48,7 @@
 
 /// Maximum number of deletion requests in one pass of the autoscaler, of up to
 /// [`DELETION_MACHINES_MAX`] machines each: the tasks of a lost machine wait for its deletion,
-/// and a wave of spot preemptions takes hundreds of 4,000 machines.
+/// and a wave of reclaimed spot machines takes hundreds of 4,000 machines.
 pub const DELETIONS_PER_PASS_MAX: usize = 4;
 
 /// Maximum number of machines in one deletion request (protocol).
--- a/crates/limits/src/heartbeats.rs
+++ b/crates/limits/src/heartbeats.rs
@@ -51,7 +51,7 @@
 pub const MISSED_HEARTBEATS_MAX: f64 = 2.5;
 
 /// Heartbeat intervals for which a machine may present an older fencing token than the one in
-/// the response to it, before responses to it count as lost (a one-way partition).
+/// the responses to its heartbeats, before these responses count as lost (a one-way partition).
 pub const UNACKNOWLEDGED_HEARTBEATS_MAX: f64 = 2.5;
 
 /// Seconds added to [`UNACKNOWLEDGED_HEARTBEATS_MAX`] heartbeat intervals.
@@ -64,5 +64,5 @@
 /// minutes late.
 pub const DELETED_MACHINE_MEMORY_S: f64 = 600.0;
 
-/// Delay in seconds of a timer from which the log reports that the process was paused.
+/// Delay in seconds of a timer from which the log reports that the process stalled.
 pub const PAUSE_LOGGED_S: f64 = 1.0;
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -1,7 +1,7 @@
-//! Writes of the leader to the key-value store: the placement log, progress and snapshots.
+//! Writes of the leader to the key-value store: the placement ledger, progress and snapshots.
 
-/// Seconds between two writes of the placement log, so that changes of several workers share one
-/// write.
+/// Seconds between two writes of the placement ledger, so that changes of several workers share
+/// one write.
 pub const LEDGER_WRITE_INTERVAL_S: f64 = 0.06;
 
 /// Changes in one transaction of final states or progress, as a share of the changes that the
@@ -18,11 +18,11 @@
 /// Maximum bytes of a transaction that a controller sends, below the protocol's 64 KiB.
 pub const TXN_BYTES_MAX: usize = 48 * 1024;
 
-/// Number of entries of the placement log above which the oldest are compacted: a new leader
+/// Number of entries of the placement ledger above which the oldest are compacted: a new leader
 /// must read all entries.
 pub const LOG_ENTRIES_TARGET: usize = 128;
 
-/// Maximum number of entries of the placement log that one write deletes.
+/// Maximum number of entries of the placement ledger that one write deletes.
 pub const LOG_DROPPED_ENTRIES_MAX: usize = 4;
 
 /// Maximum number of entries whose remaining placements one write copies into a new entry.
--- a/crates/limits/src/machines.rs
+++ b/crates/limits/src/machines.rs
@@ -3,8 +3,8 @@
 /// Seconds past a worker's lease after which a silent machine is deleted.
 pub const SILENT_DELETE_EXTRA_S: f64 = 2.0;
 
-/// Maximum share of silent machines at which silent machines are still deleted; above it a
-/// network fault is the more likely cause, and network partitions heal.
+/// Maximum share of machines that are silent at once at which silent machines are still deleted;
+/// above it a network fault is the more likely cause, and network partitions heal.
 pub const SILENT_DELETE_SHARE_MAX: f64 = 0.34;
 
 /// Multiple of the listed boot time after which a machine that is not up yet is deleted.
--- a/crates/limits/src/scheduling.rs
+++ b/crates/limits/src/scheduling.rs
@@ -98,8 +98,9 @@
 /// end at the same time leave room only until the next placement pass.
 pub const TEAM_LIMITED_FOR_S: f64 = 10.0;
 
-/// Slack in seconds below which a job that can still meet an objective of its class is served in
-/// order of slack, before the virtual clocks of the levels decide.
+/// Slack in seconds below which a job that can still meet an objective of its class is served
+/// because of its slack, before the virtual clocks of the levels decide; among such jobs the one
+/// with the least remaining work is first.
 pub const OBJECTIVE_AT_RISK_SLACK_S: f64 = 40.0;
 
 /// Grace after a job's deadline, as a share of the deadline, in which completion still has some
--- a/crates/sched/src/provisioning.rs
+++ b/crates/sched/src/provisioning.rs
@@ -61,7 +61,7 @@
     pub machine_type: String,
     /// Name of the zone.
     pub zone: String,
-    /// Whether its machines are spot machines: preemptible, at a lower price.
+    /// Whether its machines are spot machines, which the cloud may reclaim, at a lower price.
     pub spot: bool,
     /// CPUs of one machine.
     pub cpus: f64,
@@ -95,8 +95,8 @@
 
 /// Distributes a shortage of CPUs over offers. Offers without overdue boots are preferred to
 /// those with overdue boots, then the offer with the lowest price per CPU and, at equal price,
-/// the offer with the fewest machines, so that the loss of a zone or a wave of preemptions takes
-/// fewer machines.
+/// the offer with the fewest machines, so that the loss of a zone or a wave of reclaimed spot
+/// machines takes fewer machines.
 ///
 /// At most `limits::RENTAL_MACHINES_MAX` machines of an offer are ordered. The orders are in
 /// the order of the offers.
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -1,4 +1,4 @@
-//! CPUs, accelerators and memory as one quantity with its arithmetic.
+//! CPUs, GPUs and memory as one quantity with its arithmetic.
 //!
 //! The same type represents the request of a task, the capacity of a machine, and used and free
 //! resources. Sums of fractional CPUs carry rounding errors, so every check of whether resources
@@ -6,15 +6,15 @@
 
 use std::ops::{Add, AddAssign, Mul, Sub, SubAssign};
 
-/// Tolerance for rounding errors in sums, in CPUs, accelerators or GB.
+/// Tolerance for rounding errors in sums, in CPUs, GPUs or GB.
 pub const ROUNDING: f64 = 1e-6;
 
-/// CPUs, accelerators and memory.
+/// CPUs, GPUs and memory.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
     /// CPUs; tasks may request fractions.
     pub cpus: f64,
-    /// Accelerators.
+    /// GPUs.
     pub gpus: f64,
     /// Memory, GB.
     pub memory_gb: f64,
