--- a/crates/node/src/admission_filter.rs
+++ b/crates/node/src/admission_filter.rs
@@ -41,8 +41,8 @@
 }
 
 impl AdmissionFilter {
-    /// A filter that admits every job until it has a table. A disabled filter always admits every
-    /// job.
+    /// Returns a filter that admits every job until it has a table. A disabled filter always admits
+    /// every job.
     pub fn new(enabled: bool) -> AdmissionFilter {
         AdmissionFilter {
             enabled,
@@ -92,12 +92,12 @@
         }
     }
 
-    /// The term and generation of the table.
+    /// Returns the term and generation of the table.
     pub fn table_version(&self) -> TableVersion {
         lock(&self.inner).table.version()
     }
 
-    /// The table, if it is newer than `version`.
+    /// Returns the table, if it is newer than `version`.
     pub fn table_newer_than(&self, version: TableVersion) -> Option<AdmissionTable> {
         let inner = lock(&self.inner);
         (inner.table.version() > version).then(|| inner.table.clone())
@@ -116,7 +116,7 @@
 
     // --- refusals ---
 
-    /// The refusals that this peer has not acknowledged yet.
+    /// Returns the refusals that this peer has not acknowledged yet.
     pub fn unacknowledged_refusals(&self, peer: &str, now: f64) -> RefusalBatch {
         let inner = lock(&self.inner);
         let from = inner.acknowledged.get(peer).map_or(0, |a| a.up_to);
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Refused jobs that are likely to be submitted again.
+    /// Returns the refused jobs that are likely to be submitted again.
     pub fn likely_retries(&self, now: f64) -> Vec<RefusedJob> {
         lock(&self.inner).refusals.retrying(now)
     }
--- a/crates/node/src/api.rs
+++ b/crates/node/src/api.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// The class of the connection on which this request arrived.
+/// Returns the class of the connection on which this request arrived.
 pub fn connection_class(request: &Request) -> ConnectionClass {
     match request.path.split('?').next() {
         Some("/healthz" | "/agent/beat") => ConnectionClass::Worker,
--- a/crates/node/src/background/leader_election.rs
+++ b/crates/node/src/background/leader_election.rs
@@ -118,8 +118,8 @@
     }
 }
 
-/// The transaction that writes the leader's key, if it does not exist, and the new term, if the
-/// stored term has not changed since it was read.
+/// Returns the transaction that writes the leader's key, if it does not exist, and the new term, if
+/// the stored term has not changed since it was read.
 fn election_txn(leader: LeaderRecord, lease: u64, term_revision: u64) -> Txn {
     let term = TermRecord {
         last_term: leader.term,
--- a/crates/node/src/background/placement_commits.rs
+++ b/crates/node/src/background/placement_commits.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// The leader's term and the ledger batch that is due now. Heartbeats of many workers share one
-/// pass over the queue.
+/// Returns the leader's term and the ledger batch that is due now. Heartbeats of many workers share
+/// one pass over the queue.
 fn next_batch(node: &Node) -> Option<(u64, LedgerBatch)> {
     let now = node.now();
     let mut state = node.lock_state();
--- a/crates/node/src/background/recovery.rs
+++ b/crates/node/src/background/recovery.rs
@@ -155,7 +155,7 @@
     })
 }
 
-/// The entries of the ledger by number. Fails unless all of them can be read.
+/// Returns the entries of the ledger by number. Fails unless all of them can be read.
 fn ledger_entries(
     ledger: Listing<PlacementLogRecord>,
 ) -> Result<Vec<(u64, PlacementLogRecord)>, RecoveryError> {
@@ -193,7 +193,7 @@
     Ok(listing.rows.into_iter().map(|row| row.key).collect())
 }
 
-/// Keys of the chunks of submissions that never became jobs, or whose jobs are over.
+/// Returns the keys of the chunks of submissions that never became jobs, or whose jobs are over.
 fn chunks_without_job(chunk_keys: Vec<String>, jobs: &[(JobRecord, u64)]) -> Vec<String> {
     let live: HashSet<&str> = jobs
         .iter()
--- a/crates/node/src/background/status_queries.rs
+++ b/crates/node/src/background/status_queries.rs
@@ -43,9 +43,9 @@
 /// key-value store's rate, and nine of ten users got 503 instead of 429.
 ///
 /// The leader is asked for its counts before the comparison. The comparison alone decides
-/// whether a job is live, and nothing is awaited after it. If both requests were sent at the
-/// same time, a slow leader would cause jobs to be reported as queued after their cancellation
-/// was confirmed.
+/// whether a job is live, and nothing is awaited after it. When both requests were sent at the
+/// same time, a slow leader caused jobs to be reported as queued after their cancellation was
+/// confirmed.
 async fn serve_batch(node: Arc<Node>, batch: QueryBatch) {
     let deadline = node.now() + limits::STATUS_QUERY_BATCH_TIMEOUT_S;
     let ids: Vec<String> = batch.keys().cloned().collect();
--- a/crates/node/src/background/transactions.rs
+++ b/crates/node/src/background/transactions.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// The outcome of a transaction after one attempt; `None` if it should be sent again.
+/// Returns the outcome of a transaction after one attempt; `None` if it should be sent again.
 /// `maybe_applied` tells whether an earlier attempt had an unknown outcome, and is set if this
 /// attempt has one.
 fn settled(result: Result<TxnOutcome, NetError>, maybe_applied: &mut bool) -> Option<WriteOutcome> {
--- a/crates/node/src/cancellations.rs
+++ b/crates/node/src/cancellations.rs
@@ -57,7 +57,7 @@
     Outcome::Unavailable
 }
 
-/// The transaction that ends a live job as cancelled, unless its records have changed since
+/// Returns the transaction that ends a live job as cancelled, unless its records have changed since
 /// `record` was read, and the final state that the transaction writes.
 fn cancellation_txn(
     node: &Node,
--- a/crates/node/src/chunk_slots.rs
+++ b/crates/node/src/chunk_slots.rs
@@ -10,7 +10,7 @@
 pub struct ChunkSlots(Mutex<BTreeMap<String, u64>>);
 
 impl ChunkSlots {
-    /// The slot in which this key's chunks were last seen; `None` if they were never seen.
+    /// Returns the slot in which this key's chunks were last seen; `None` if they were never seen.
     pub fn last_seen(&self, key: &str) -> Option<u64> {
         lock(&self.0).get(key).copied()
     }
--- a/crates/node/src/chunked_values.rs
+++ b/crates/node/src/chunked_values.rs
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 
-/// The change that writes a record without a lease.
+/// Returns the change that writes a record without a lease.
 pub(crate) fn put(key: String, value: StoredRecord) -> Change {
     let lease = None;
     Change::Put { key, value, lease }
@@ -110,7 +110,7 @@
     Ok(changes.len())
 }
 
-/// The slot of the newest chunks of this key; 1 if there are none.
+/// Returns the slot of the newest chunks of this key; 1 if there are none.
 async fn used_slot<T: ChunkedRecord>(node: &Node, key: &str) -> Result<u64, NetError> {
     if let Some(slot) = node.chunk_slots.last_seen(key) {
         return Ok(slot);
@@ -119,7 +119,7 @@
     Ok(node.chunk_slots.last_seen(key).unwrap_or(1))
 }
 
-/// The changes that write these chunks.
+/// Returns the changes that write these chunks.
 pub(crate) fn chunk_changes(key: &str, chunks: ChunkSet, texts: Vec<String>) -> Vec<Change> {
     let prefix = keys::chunk_prefix(key, chunks.slot);
     let set_id = chunks.set_id;
--- a/crates/node/src/dependencies.rs
+++ b/crates/node/src/dependencies.rs
@@ -33,14 +33,14 @@
     over: BTreeSet<String>,
 }
 
-/// The state in which a job with dependencies is written.
+/// Returns the state in which a job with dependencies is written.
 ///
 /// Each dependency must have been accepted, which is never undone: an accepted job is live or
 /// over from then on. A service is never done, so no job may depend on a service; only the first
 /// `DEPENDENCY_KIND_CHECKS_MAX` dependencies are checked for that, since by the protocol users
-/// never name a service. If a dependency is cancelled, this job is cancelled from the start. If
-/// that were left to the leader, the response to the submission would still say queued, long
-/// after the user had seen the dependency cancelled.
+/// never name a service. If a dependency is cancelled, this job is cancelled from the start. When
+/// that was left to the leader, the response to the submission still said queued, long after the
+/// user had seen the dependency cancelled.
 pub(crate) async fn check(node: &Node, job: &Submission) -> Result<InitialState, Error> {
     let Some(dependencies) = find(node, job).await? else {
         // The job itself is already known, which takes precedence over all checks: its commit
--- a/crates/node/src/frames.rs
+++ b/crates/node/src/frames.rs
@@ -15,7 +15,8 @@
 /// Bytes of a command besides its task.
 const COMMAND_BYTES: usize = 20;
 
-/// Upper bound on the bytes of a heartbeat with the run times that its shard owner measured.
+/// Returns an upper bound on the bytes of a heartbeat with the run times that its shard owner
+/// measured.
 pub fn heartbeat_bytes(heartbeat: &Heartbeat, run_times: &[(String, f64)]) -> usize {
     let texts = [
         &heartbeat.machine,
@@ -29,7 +30,7 @@
     HEARTBEAT_BYTES + texts + tasks.sum::<usize>() + run_times.sum::<usize>()
 }
 
-/// Upper bound on the bytes of the commands for one machine, with its fencing token.
+/// Returns an upper bound on the bytes of the commands for one machine, with its fencing token.
 pub fn commands_bytes(commands: &[Command]) -> usize {
     let bytes = |c: &Command| match c {
         Command::Start { task, .. } | Command::Stop { task, .. } | Command::Forget { task, .. } => {
--- a/crates/node/src/heartbeats.rs
+++ b/crates/node/src/heartbeats.rs
@@ -60,8 +60,8 @@
 }
 
 impl Node {
-    /// The response to a worker's heartbeat; `None` if this controller may not respond to the
-    /// machine now.
+    /// Returns the response to a worker's heartbeat; `None` if this controller may not respond to
+    /// the machine now.
     ///
     /// The right to respond is checked again when the response is made: the process may have
     /// stalled while the heartbeat waited in a socket.
@@ -96,10 +96,10 @@
             .heartbeat_response(&machine, from_leader, received, now, shard_lease_s)
     }
 
-    /// The leader's response to a heartbeat of a machine in `shard_owner`'s shard; `None` if this
-    /// controller may not act as the leader, or must not respond to the machine. Capacity that
-    /// the heartbeat frees is used by the next placement commit, whose start commands go directly
-    /// to the workers.
+    /// Returns the leader's response to a heartbeat of a machine in `shard_owner`'s shard; `None`
+    /// if this controller may not act as the leader, or must not respond to the machine. Capacity
+    /// that the heartbeat frees is used by the next placement commit, whose start commands go
+    /// directly to the workers.
     pub(crate) fn handle_heartbeat(
         &self,
         shard_owner: &str,
@@ -119,7 +119,8 @@
         })
     }
 
-    /// The leader's response to a heartbeat that is forwarded to it; `None` if there is none.
+    /// Returns the leader's response to a heartbeat that is forwarded to it; `None` if there is
+    /// none.
     async fn forward_heartbeat(
         &self,
         known_leader: Option<String>,
--- a/crates/node/src/job_queries.rs
+++ b/crates/node/src/job_queries.rs
@@ -64,9 +64,9 @@
     Ok(found.map(|item| item.value))
 }
 
-/// The final states of those of these jobs that are over. Up to
-/// `DEPENDENCY_CHECK_SINGLE_READS_MAX` unknown jobs are read one by one; more are read by pages
-/// of the final states, each of which contains all final states in its range.
+/// Returns the final states of those of these jobs that are over. Up to
+/// `DEPENDENCY_CHECK_SINGLE_READS_MAX` unknown jobs are read one by one; more are read by pages of
+/// the final states, each of which contains all final states in its range.
 pub(crate) async fn final_states(
     node: &Node,
     ids: &BTreeSet<String>,
--- a/crates/node/src/job_records.rs
+++ b/crates/node/src/job_records.rs
@@ -43,7 +43,7 @@
     })
 }
 
-/// Guards that hold only while neither a live nor a final record of this job exists.
+/// Returns guards that hold only while neither a live nor a final record of this job exists.
 fn new_job_guards(id: &str) -> Vec<Guard> {
     let absent = |key| Guard { key, revision: 0 };
     vec![absent(keys::job(id)), absent(keys::final_state(id))]
@@ -161,7 +161,7 @@
     Ok(written)
 }
 
-/// Guards for the records of these changes, which were all written at `revision`.
+/// Returns guards for the records of these changes, which were all written at `revision`.
 fn guards_of(changes: &[Change], revision: u64) -> impl Iterator<Item = Guard> {
     changes.iter().map(move |change| {
         let (Change::Put { key, .. } | Change::Delete { key }) = change;
@@ -172,8 +172,8 @@
     })
 }
 
-/// A job's record with its whole submission, whether that is stored in the record or in chunks;
-/// `None` if the submission can't be read.
+/// Returns a job's record with its whole submission, whether that is stored in the record or in
+/// chunks; `None` if the submission can't be read.
 pub async fn with_submission(
     node: &Node,
     record: JobRecord,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -114,12 +114,12 @@
         }
     }
 
-    /// This controller's label in the settings.
+    /// Returns this controller's label in the settings.
     pub fn label(&self) -> &str {
         &self.settings.platform.label
     }
 
-    /// Seconds on this controller's monotonic clock.
+    /// Returns the seconds on this controller's monotonic clock.
     pub fn now(&self) -> f64 {
         self.host.now()
     }
@@ -141,7 +141,7 @@
         self.job_commit_due.notify_one();
     }
 
-    /// The other controller with this label.
+    /// Returns the other controller with this label.
     pub(crate) fn peer_with_label(&self, label: Option<&str>) -> Option<&PeerClient> {
         self.peers.iter().find(|p| Some(p.label.as_str()) == label)
     }
@@ -152,7 +152,7 @@
         self.lock_state().is_ready(now)
     }
 
-    /// A snapshot of this controller, for simulations and tests.
+    /// Returns a snapshot of this controller, for simulations and tests.
     pub fn status(&self) -> NodeStatus {
         let now = self.now();
         let mut state = self.lock_state();
--- a/crates/node/src/responses.rs
+++ b/crates/node/src/responses.rs
@@ -43,7 +43,7 @@
 }
 
 impl Outcome {
-    /// The outcome for a job that is over.
+    /// Returns the outcome for a job that is over.
     pub(crate) fn ended(id: &str, value: &FinalStateRecord) -> Outcome {
         Outcome::Ended {
             id: id.to_string(),
@@ -51,8 +51,9 @@
         }
     }
 
-    /// The outcome if the key-value store did not serve a request that the user's request (`what`)
-    /// depends on. The user gets a 503 at once: the store's request is not sent again here.
+    /// Returns the outcome if the key-value store did not serve a request that the user's request
+    /// (`what`) depends on. The user gets a 503 at once: the store's request is not sent again
+    /// here.
     pub(crate) fn store_failed(node: &Node, what: &str, error: &NetError) -> Outcome {
         debug!(node = node.label(), what, %error, "state service request failed");
         Outcome::Unavailable
@@ -99,7 +100,8 @@
     }
 }
 
-/// The response with a job's state, and its numbers of tasks done and running if they are known.
+/// Returns the response with a job's state, and its numbers of tasks done and running if they are
+/// known.
 fn job_status(status: u16, id: String, state: JobState, counts: Option<(u32, u32)>) -> Response {
     let (done, running) = (counts.map(|c| c.0), counts.map(|c| c.1));
     let job_status = JobStatus {
--- a/crates/node/src/settings/operator.rs
+++ b/crates/node/src/settings/operator.rs
@@ -127,7 +127,7 @@
 }
 
 impl Operator {
-    /// These settings as the policy type of the control package.
+    /// Returns these settings as the policy type of the control package.
     pub fn policy(&self) -> cherrywood_control::OperatorPolicy {
         use cherrywood_control::settings::{Aging as AgingPolicy, SheddingPolicy};
         cherrywood_control::OperatorPolicy {
@@ -169,7 +169,7 @@
 }
 
 impl LogLevel {
-    /// The level's name in the logging library.
+    /// Returns the level's name in the logging library.
     pub fn name(self) -> &'static str {
         match self {
             LogLevel::Error => "error",
--- a/crates/node/src/settings/platform.rs
+++ b/crates/node/src/settings/platform.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// The error for a malformed file, with the mistake's line and its description in one line.
+/// Returns the error for a malformed file, with the mistake's line and its description in one line.
 fn malformed(text: &str, error: &toml::de::Error) -> SettingsError {
     let line_at = |start: usize| text[..start.min(text.len())].lines().count();
     SettingsError::Malformed {
--- a/crates/node/src/state/final_states.rs
+++ b/crates/node/src/state/final_states.rs
@@ -13,7 +13,7 @@
 }
 
 impl FinalStateCache {
-    /// The final state of this job, if it is cached.
+    /// Returns the final state of this job, if it is cached.
     pub fn get(&self, id: &str) -> Option<&FinalStateRecord> {
         self.by_job.get(id)
     }
--- a/crates/node/src/state/leader_contact.rs
+++ b/crates/node/src/state/leader_contact.rs
@@ -42,7 +42,7 @@
     ///
     /// Workers should then send their heartbeats to the leader itself. Under the shard leases
     /// that this controller still holds, nothing starts, no heartbeat reaches the leader, and the
-    /// leader takes the machines for dead (an incident: 190 machines deleted at once).
+    /// leader counts the machines as lost (in one incident, 190 machines were deleted at once).
     pub fn is_partitioned_from_leader(&self, now: f64) -> bool {
         now - self.named_by_store_at < limits::LEADER_KEY_FRESH_S && self.is_silent(now)
     }
--- a/crates/node/src/state/leader_term.rs
+++ b/crates/node/src/state/leader_term.rs
@@ -35,21 +35,23 @@
 }
 
 impl LeaderTerm {
-    /// The leader, while its lease has certainly not expired. It may write, since every write is
-    /// guarded by the leader's key.
+    /// Returns the leader, while its lease has certainly not expired. It may write, since every
+    /// write is guarded by the leader's key.
     pub fn leader_if_may_write(&mut self, now: f64) -> Option<&mut Leader> {
         let may_write = self.leadership.may_write(now);
         self.leader.as_mut().filter(|l| may_write && !l.deposed)
     }
 
-    /// The leader, while it may also respond to workers, grant shard leases and send commands.
+    /// Returns the leader, while it may also respond to workers, grant shard leases and send
+    /// commands.
     pub fn leader_if_may_act(&mut self, now: f64, timing: &LeaseTiming) -> Option<&mut Leader> {
         let may_act = self.leadership.may_act(now, timing);
         self.leader.as_mut().filter(|l| may_act && !l.deposed)
     }
 
-    /// The leader of this term, if this controller still leads in it. Responses that arrive after
-    /// the term refer to jobs by indices that mean nothing to a new leader on the same controller.
+    /// Returns the leader of this term, if this controller still leads in it. Responses that arrive
+    /// after the term refer to jobs by indices that mean nothing to a new leader on the same
+    /// controller.
     pub fn leader_of_term(&mut self, term: u64) -> Option<&mut Leader> {
         self.leader.as_mut().filter(|l| l.term() == term)
     }
--- a/crates/node/src/state/store_contact.rs
+++ b/crates/node/src/state/store_contact.rs
@@ -38,9 +38,9 @@
     /// Whether users can be served here, or at least no better elsewhere.
     ///
     /// In an outage that no peer contradicts a controller stays ready. A controller that was
-    /// started during the outage becomes ready once it has heard peers: if it were not ready, the
-    /// load balancer would take it out, and it would be missing for the first seconds after the
-    /// outage.
+    /// started during the outage becomes ready once it has heard peers: when such a controller was
+    /// not ready, the load balancer took it out, and it was missing for the first seconds after
+    /// the outage.
     pub fn is_ready(&self, now: f64) -> bool {
         if self.has_response() {
             self.is_ready_after_contact(now)
--- a/crates/node/src/status_queries.rs
+++ b/crates/node/src/status_queries.rs
@@ -85,8 +85,8 @@
     /// Takes at most `max_jobs` jobs with all their waiting queries, in the order of the jobs'
     /// first waiting query.
     ///
-    /// If jobs were taken in the order of their ids, the last ones would starve while queries
-    /// concern more jobs than a comparison can hold. In order of arrival a query waits only for
+    /// When jobs were taken in the order of their ids, the last ones starved while queries
+    /// concerned more jobs than a comparison can hold. In order of arrival a query waits only for
     /// the batches before it, regardless of later queries: `jobs queried at once / max_jobs`
     /// times `STATUS_QUERY_BATCH_INTERVAL_S`.
     pub fn take_batch(&self, max_jobs: usize) -> QueryBatch {
--- a/crates/node/src/submissions.rs
+++ b/crates/node/src/submissions.rs
@@ -117,9 +117,9 @@
     }
 }
 
-/// The state of a job that was accepted before. The leader is asked for its task counts first.
-/// The look-up, which decides the state, comes last, so that nothing is awaited between it and
-/// the response.
+/// Returns the state of a job that was accepted before. The leader is asked for its task counts
+/// first. The look-up, which decides the state, comes last, so that nothing is awaited between it
+/// and the response.
 async fn repeated_submission(node: &Node, id: &str) -> Outcome {
     let counts = node.task_counts(&[id.to_string()]).await;
     match look_up(node, id, RequestPriority::Critical).await {
@@ -137,9 +137,9 @@
     }
 }
 
-/// The state of a known job; `None` if the job is unknown. Concurrent look-ups share one read of
-/// the key-value store: under overload, every submission that lacks room is looked up here as
-/// well.
+/// Returns the state of a known job; `None` if the job is unknown. Concurrent look-ups share one
+/// read of the key-value store: under overload, every submission that lacks room is looked up here
+/// as well.
 pub(crate) async fn known_state(node: &Node, id: &str) -> Option<Outcome> {
     match node.status_queries.query(id).await {
         QueryResult::Live { done, running } => Some(Outcome::Live {
--- a/crates/node/src/task_counts.rs
+++ b/crates/node/src/task_counts.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// The counts (done, running) of each job, in the form of peer frames.
+/// Returns the counts (done, running) of each job, in the form of peer frames.
 pub(crate) fn leader_task_counts(leader: &Leader, jobs: &[String], now: f64) -> Vec<(u32, u32)> {
     jobs.iter()
         .map(|job| leader.task_counts(job, now).unwrap_or_default())
@@ -49,7 +49,7 @@
 }
 
 impl Node {
-    /// The task counts of each of these jobs. A leader that has been silent for long is not
+    /// Returns the task counts of each of these jobs. A leader that has been silent for long is not
     /// asked: the caller would only wait for the timeout.
     pub(crate) async fn task_counts(&self, jobs: &[String]) -> Vec<TaskCounts> {
         let now = self.now();
--- a/crates/node/src/worker_client.rs
+++ b/crates/node/src/worker_client.rs
@@ -70,7 +70,8 @@
             .await
     }
 
-    /// A worker's status, in the form of a heartbeat; `None` if the worker does not respond.
+    /// Returns a worker's status, in the form of a heartbeat; `None` if the worker does not
+    /// respond.
     pub(crate) async fn worker_status(&self, addr: &str) -> Option<Heartbeat> {
         self.request_heartbeat(addr, "GET", "/status", None).await
     }
