--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -10,7 +10,7 @@
 //! | `w/<entry>` | an entry of the placement ledger, hexadecimal | the leader |
 //! | `p/<job>`, `p/<job>/<n>` | finished tasks of a live job, whole or in parts | the leader |
 //! | `h/all`, `h/images`, `h/admission` | run-time histograms, image locations, admission table | the leader |
-//! | `v/<label>` | the protocol version of a controller | that controller |
+//! | `v/<label>` | the format version of a controller | that controller |
 //!
 //! A value under `h/` that is too large for one value is written as chunks under the prefix
 //! [`chunk_prefix`].
@@ -33,7 +33,7 @@
 pub const ADMISSION: &str = "h/admission";
 /// Prefix of the chunks of submissions too large for one value.
 pub const SUBMISSIONS: &str = "n/";
-/// Prefix of the protocol versions of the controllers.
+/// Prefix of the format versions of the controllers.
 pub const MEMBERS: &str = "v/";
 
 /// Returns the key of a live job.
@@ -90,7 +90,7 @@
     key.strip_prefix(SUBMISSIONS)?.split('/').next()
 }
 
-/// Returns the key of the protocol version of a controller.
+/// Returns the key of the format version of a controller.
 pub fn member(label: &str) -> String {
     format!("{MEMBERS}{label}")
 }
--- a/crates/control/src/leader/autoscaler/demand.rs
+++ b/crates/control/src/leader/autoscaler/demand.rs
@@ -51,7 +51,7 @@
                 true => u32::from(probed.insert(range.job)),
                 false => range.len(),
             };
-            // Tasks that the limit on accelerators keeps from running need no machine.
+            // Tasks that the limit on GPUs keeps from running need no machine.
             let tasks = gpu_headroom[team].take_gpus(&job.spec, f64::from(runnable));
             if tasks > 0.0 {
                 demand.add(job, team, tasks, self.expected_run_s(job));
--- a/crates/control/src/leader/autoscaler/inventory.rs
+++ b/crates/control/src/leader/autoscaler/inventory.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Marks machines that the cloud has reclaimed for deletion. Once listed, a machine stays
+    /// Marks for deletion the machines that the cloud has reclaimed. Once listed, a machine stays
     /// listed until it is gone. But a list may be older than the one before it, so a machine must
     /// also be silent.
     fn delete_unlisted_machines(&mut self, listed: &HashSet<&str>, now: f64) {
--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -34,7 +34,7 @@
         self.cascading_cancellations.remove(id);
     }
 
-    /// When the last of the jobs that it depends on was done, s; `None` if unknown.
+    /// Returns when the last of the jobs that a job depends on was done, s; `None` if unknown.
     pub(super) fn ready_since(&self, id: &str) -> Option<f64> {
         self.graph.ready_since(id)
     }
@@ -63,7 +63,8 @@
         readiness == Readiness::Ready
     }
 
-    /// Jobs whose final state must be read: others depend on them, and they are not live.
+    /// Returns the jobs whose final state must be read: others depend on them, and they are not
+    /// live.
     pub fn jobs_to_look_up(&self) -> Vec<String> {
         self.dependencies.graph.unresolved().cloned().collect()
     }
@@ -236,8 +237,8 @@
             .is_some_and(|pending_since| now - pending_since > threshold_s)
     }
 
-    /// The counts of done and running tasks of a live job, for display; [`COUNTS_WITHHELD`] if
-    /// users may be told nothing of it until its final state is written.
+    /// Returns the counts of done and running tasks of a live job, for display; [`COUNTS_WITHHELD`]
+    /// if users may be told nothing of it until its final state is written.
     pub fn task_counts(&self, id: &str, now: f64) -> Option<(u32, u32)> {
         if self.is_overdue_for_cancellation(id, now) {
             return Some(COUNTS_WITHHELD);
--- a/crates/control/src/leader/direct_commands.rs
+++ b/crates/control/src/leader/direct_commands.rs
@@ -51,8 +51,8 @@
 }
 
 impl Leader {
-    /// The starts and graceful stops that are due, by the controller that owns the machines. Each
-    /// is returned once; a call of `direct_commands_done` must follow.
+    /// Returns the starts and graceful stops that are due, by the controller that owns the
+    /// machines. Each is returned once; a call of `direct_commands_done` must follow.
     pub fn due_direct_commands(&mut self, now: f64) -> BTreeMap<String, Vec<AddressedCommands>> {
         let fresh_s = limits::MISSED_HEARTBEATS_MAX * self.settings.workers.report_s;
         let mut by_owner: BTreeMap<String, Vec<AddressedCommands>> = BTreeMap::new();
@@ -104,9 +104,9 @@
         }
     }
 
-    /// The stops of tasks that may not go on, on machines whose heartbeats stay away: no response
-    /// carries stops there, while direct commands may still arrive. A machine that this leader has
-    /// never heard from is known from the ledger and the cloud's list.
+    /// Returns the stops of tasks that may not go on, on machines whose heartbeats stay away: no
+    /// response carries stops there, while direct commands may still arrive. A machine that this
+    /// leader has never heard from is known from the ledger and the cloud's list.
     ///
     /// Machines whose last stop was sent the longest ago come first,
     /// `limits::DIRECT_CONTACT_MACHINES_MAX` at a time.
@@ -149,7 +149,7 @@
 }
 
 impl Machine {
-    /// Starts and graceful stops that were not sent yet; from now on they count as sent.
+    /// Returns the starts and graceful stops that were not sent yet, and marks them as sent.
     fn take_due_commands(&mut self, name: &str, jobs: &JobTable, now: f64) -> Vec<Command> {
         let mut commands = Vec::new();
         for placement in self.placements.iter_mut() {
@@ -178,7 +178,8 @@
         commands
     }
 
-    /// The commands, bound to the machine's address, token and incarnation.
+    /// Returns the commands with the address of the worker, bound to the machine's token and
+    /// incarnation.
     fn addressed_commands(&self, name: &str, commands: Vec<Command>) -> AddressedCommands {
         debug!(
             machine = name,
--- a/crates/control/src/leader/failures.rs
+++ b/crates/control/src/leader/failures.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// The pause before a suspect job is tried again, s: it doubles with each failed retry.
+/// Returns the pause before a suspect job is tried again, s: it doubles with each failed retry.
 fn next_backoff_s(job: &mut Job, now: f64) -> f64 {
     // Tasks that were started before the pause don't make it longer.
     if now >= job.retry_at {
--- a/crates/control/src/leader/freeing.rs
+++ b/crates/control/src/leader/freeing.rs
@@ -69,7 +69,7 @@
 }
 
 impl<'a> FreeContext<'a> {
-    /// The context in which a message of the machine's worker is the proof.
+    /// Returns the context in which a message of the machine's worker is the proof.
     pub(super) fn shown_by(message: &'a Heartbeat, zone: &'a str, reason: FreeReason) -> Self {
         FreeContext {
             machine: &message.machine,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// The context in which no message from the machine is the proof, but the cloud or elapsed
-    /// time.
+    /// Returns the context in which no message from the machine is the proof, but the cloud or
+    /// elapsed time.
     pub(super) fn without_message(machine: &'a str, zone: &'a str, reason: FreeReason) -> Self {
         FreeContext {
             machine,
--- a/crates/control/src/leader/heartbeat_commands.rs
+++ b/crates/control/src/leader/heartbeat_commands.rs
@@ -11,7 +11,7 @@
 /// isn't repeated: the task may not have begun to save when the next heartbeats were sent.
 const STOP_REPEAT_FACTOR: f64 = 2.0;
 
-/// A stop that leaves the task time to save a checkpoint, if the task saves any.
+/// Returns a stop that leaves the task time to save a checkpoint, if the task saves any.
 pub(super) fn graceful_stop(placement: &Placement, job: &Job) -> Command {
     Command::Stop {
         task: placement.task_id.clone(),
@@ -20,7 +20,7 @@
     }
 }
 
-/// A stop that takes effect at once, for a task that may not go on.
+/// Returns a stop that takes effect at once, for a task that may not go on.
 pub(super) fn immediate_stop(task: &str, attempt: u64) -> Command {
     Command::Stop {
         task: task.to_string(),
@@ -29,7 +29,7 @@
     }
 }
 
-/// The start command for a placement that is in the ledger.
+/// Returns the start command for a placement that is in the ledger.
 pub(super) fn start(placement: &Placement) -> Command {
     Command::Start {
         task: placement.task_id.clone(),
@@ -38,8 +38,8 @@
 }
 
 impl Leader {
-    /// The commands in the response to this heartbeat; none if a newer heartbeat was accepted
-    /// meanwhile, whose response carries them.
+    /// Returns the commands in the response to this heartbeat; none if a newer heartbeat was
+    /// accepted meanwhile, whose response carries them.
     pub fn heartbeat_commands(&mut self, heartbeat: &Heartbeat, now: f64) -> Vec<Command> {
         let mut commands = Vec::new();
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
@@ -97,7 +97,7 @@
 }
 
 impl Machine {
-    /// The command that has the worker forget a task that exited.
+    /// Returns the command that has the worker forget a task that exited.
     ///
     /// Not given before the worker has seen the newest token and the direct start of the attempt
     /// has had its response, since a start that is still in flight could run the task again; and if
@@ -130,7 +130,7 @@
     }
 
     /// Requests that a running task that saves checkpoints leaves the machine, either because the
-    /// cloud is about to reclaim the machine or because the machine is being emptied and the task
+    /// cloud is about to reclaim the machine or because the machine is being drained and the task
     /// has run for long enough that saving is worth it.
     fn request_eviction_if_due(
         &mut self,
@@ -153,8 +153,8 @@
         }
     }
 
-    /// The stop of a task that is to leave the machine, if due. A lost stop is sent again; a task
-    /// that is saving is left alone.
+    /// Returns the stop of a task that is to leave the machine, if due. A lost stop is sent again;
+    /// a task that is saving is left alone.
     fn graceful_stop_command(
         &mut self,
         at: usize,
@@ -195,9 +195,9 @@
                 placement.start_attempts += 1;
                 commands.push(start(placement));
             } else if is_over && !placement.is_listed_in(heartbeat) {
-                // The start may have arrived after this heartbeat was sent, so a stop follows it;
-                // whatever incarnation the heartbeat is of, the shard lease is not extended without
-                // that.
+                // The start may have arrived after this heartbeat was sent, so a stop follows it,
+                // whichever incarnation the heartbeat shows: without that stop the shard lease is
+                // not extended.
                 if !placement.never_sent() {
                     commands.push(immediate_stop(&placement.task_id, placement.attempt));
                 }
@@ -233,8 +233,8 @@
     }
 }
 
-/// Time for which a task must have run before it is moved off a machine that is being emptied, s:
-/// more if an objective counts the start of its class, which moving it would undo.
+/// Returns the time for which a task must have run before it is moved off a machine that is being
+/// drained, s: more if an objective counts the start of its class, which moving it would undo.
 fn min_run_before_eviction_s(job: &Job, settings: &Settings) -> f64 {
     let mut objectives = settings.objectives.iter();
     match objectives.any(|o| o.kind == "wait" && o.class == job.spec.class) {
--- a/crates/control/src/leader/heartbeats.rs
+++ b/crates/control/src/leader/heartbeats.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 
-/// The term in which a token or an attempt was issued; both share one counter.
+/// Returns the term in which a token or an attempt was issued; both share one counter.
 fn term_of(token: u64) -> u64 {
     token >> limits::TERM_SHIFT_BITS
 }
@@ -237,8 +237,8 @@
     }
 
     /// Frees placements that the heartbeat doesn't list and that no command can still start on the
-    /// worker: it has seen the current token, which fences every older command, and whatever
-    /// carried the start has been answered.
+    /// worker: it has seen the current token, which fences every older command, and the message
+    /// that carried the start has had its response.
     fn free_absent(&mut self, machine: &mut Machine, heartbeat: &Heartbeat, now: f64) {
         if heartbeat.fencing_token < machine.fencing_token {
             return;
--- a/crates/control/src/leader/job.rs
+++ b/crates/control/src/leader/job.rs
@@ -69,7 +69,7 @@
     pub(super) stored_progress: progress::StoredProgress,
     /// The chunks of its submission, if the submission doesn't fit a single value.
     pub(super) submission_chunks: Option<ChunkSet>,
-    /// A transaction with its progress or its final state has no response yet.
+    /// Whether a transaction with its progress or its final state has no response yet.
     pub(super) write_in_flight: bool,
     /// Class and team, for admission.
     pub(super) tenant_class: TenantClassId,
@@ -115,14 +115,14 @@
         !self.done.get(task) && !self.placements_by_task.contains_key(&task)
     }
 
-    /// Number of tasks that are neither done nor placed.
+    /// Returns the number of tasks that are neither done nor placed.
     pub(super) fn remaining_tasks(&self) -> u32 {
         let done_or_placed = self.done.count() + self.placements_by_task.len() as u32;
         self.spec.tasks.saturating_sub(done_or_placed)
     }
 
-    /// The time since which none of its tasks has been placed, s. `None` for gangs: they wait for
-    /// room for all of their tasks.
+    /// Returns the time since which none of its tasks has been placed, s. `None` for gangs: they
+    /// wait for room for all of their tasks.
     pub(super) fn unserved_since(&self) -> Option<f64> {
         (self.spec.kind != JobKind::Gang).then(|| self.ready_at.max(self.last_placed_at))
     }
@@ -165,9 +165,9 @@
     }
 }
 
-/// A hash of the name of an image or estimate key, so that a lookup compares no text. If two names
-/// had the same hash, only the estimate of a wait or run time would be wrong. Hashes of images are
-/// kept in the key-value store, so the function must be the same in every build.
+/// Returns a hash of the name of an image or estimate key, so that a lookup compares no text. If
+/// two names had the same hash, only the estimate of a wait or run time would be wrong. Hashes of
+/// images are kept in the key-value store, so the function must be the same in every build.
 pub(super) fn stable_name_hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
--- a/crates/control/src/leader/job_batch.rs
+++ b/crates/control/src/leader/job_batch.rs
@@ -24,8 +24,8 @@
 const PROGRESS_HEADER_BYTES: usize = 200;
 /// Changes of a final state: it deletes the job and its progress and writes the state.
 const FINAL_STATE_CHANGES: usize = 3;
-/// Minimum number of changes that a job transaction may have, whatever the limits: fewer couldn't
-/// hold a final state.
+/// Lower bound of the maximum number of changes of a job transaction, whatever the limits: a
+/// transaction of fewer changes couldn't hold a final state.
 const MIN_CHANGES: usize = 3;
 
 /// A job transaction whose outcome isn't known yet: cancellations, final states, progress, or
@@ -170,7 +170,7 @@
         self.batch.deleted_keys.push(key.to_string());
     }
 
-    /// The transaction, if it changes anything.
+    /// Returns the transaction, if it changes anything.
     fn finish(self) -> Option<JobBatch> {
         (!self.batch.txn.changes.is_empty()).then_some(self.batch)
     }
@@ -187,7 +187,7 @@
 }
 
 impl Leader {
-    /// The next job transaction: cancellations that follow from others, else final states,
+    /// Returns the next job transaction: cancellations that follow from others, else final states,
     /// else progress, else deletions of obsolete records; the last two only if `progress_too`.
     pub fn job_batch(&mut self, progress_too: bool, now: f64) -> Option<JobBatch> {
         let max_changes = self.max_job_changes();
@@ -209,8 +209,8 @@
         builder.finish()
     }
 
-    /// Maximum number of changes of a job transaction: few, so that it soon finds room in the write
-    /// budget.
+    /// Returns the maximum number of changes of a job transaction: few, so that it soon finds room
+    /// in the write budget.
     fn max_job_changes(&self) -> usize {
         let share = self.store_limits.write_rps * limits::JOB_BATCH_CHANGES_SHARE;
         let max_changes = self.store_limits.txn_changes.min(share as usize);
--- a/crates/control/src/leader/job_table.rs
+++ b/crates/control/src/leader/job_table.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, HashMap};
 
-/// What the leader knows of the job with a given id.
+/// State of the job with a given id, as far as the leader knows it.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum KnownJob<'a> {
     /// The job is live.
@@ -59,17 +59,17 @@
         self.unreadable.contains(id)
     }
 
-    /// Ids of live jobs whose records can't be read here.
+    /// Returns the ids of live jobs whose records can't be read here.
     pub(super) fn unreadable_ids(&self) -> impl Iterator<Item = &String> {
         self.unreadable.iter()
     }
 
-    /// The job of this index, if it is live.
+    /// Returns the job of this index, if it is live.
     pub(super) fn get(&self, index: &JobIndex) -> Option<&Job> {
         self.jobs.get(index)
     }
 
-    /// The job of this index, if it is live.
+    /// Returns the job of this index, if it is live.
     pub(super) fn get_mut(&mut self, index: &JobIndex) -> Option<&mut Job> {
         self.jobs.get_mut(index)
     }
@@ -79,17 +79,17 @@
         self.jobs.contains_key(index)
     }
 
-    /// The index of a live job.
+    /// Returns the index of a live job.
     pub(super) fn index_of(&self, id: &str) -> Option<JobIndex> {
         self.index_by_id.get(id).copied()
     }
 
-    /// The live job of this id.
+    /// Returns the live job of this id.
     pub(super) fn by_id(&self, id: &str) -> Option<&Job> {
         self.jobs.get(self.index_by_id.get(id)?)
     }
 
-    /// What the leader knows of the job of this id.
+    /// Returns the state of the job of this id, as far as the leader knows it.
     pub(super) fn look_up(&self, id: &str) -> KnownJob<'_> {
         match self.by_id(id) {
             Some(job) => KnownJob::Live(job),
@@ -98,27 +98,27 @@
         }
     }
 
-    /// The live job of this id.
+    /// Returns the live job of this id.
     pub(super) fn by_id_mut(&mut self, id: &str) -> Option<&mut Job> {
         self.jobs.get_mut(self.index_by_id.get(id)?)
     }
 
-    /// Ids of all live jobs, in no particular order.
+    /// Returns the ids of all live jobs, in no particular order.
     pub(super) fn ids(&self) -> impl Iterator<Item = &String> {
         self.index_by_id.keys()
     }
 
-    /// All live jobs and their indices, in no particular order.
+    /// Returns all live jobs and their indices, in no particular order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&JobIndex, &Job)> {
         self.jobs.iter()
     }
 
-    /// All live jobs, in no particular order.
+    /// Returns all live jobs, in no particular order.
     pub(super) fn values(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// Number of live jobs.
+    /// Returns the number of live jobs.
     pub(super) fn len(&self) -> usize {
         self.jobs.len()
     }
--- a/crates/control/src/leader/jobs.rs
+++ b/crates/control/src/leader/jobs.rs
@@ -154,9 +154,10 @@
         }
     }
 
-    /// Machine and task of each placement of this job, which isn't in the job table. The ledger may
-    /// place tasks of a job that was believed to have ended: they may be on those machines and must
-    /// not be queued. Only placements without a live job are searched; they are few.
+    /// Returns the machine and task of each placement of this job, which isn't in the job table.
+    /// The ledger may place tasks of a job that was believed to have ended: they may be on those
+    /// machines and must not be queued. Only placements without a live job are searched; they are
+    /// few.
     fn placements_without_job(&self, id: &str) -> Vec<(String, u32)> {
         let mut placed: Vec<(String, u32)> = Vec::new();
         for (name, m) in &self.machines {
@@ -196,7 +197,7 @@
         self.jobs.set_unreadable(ids);
     }
 
-    /// Ids of live jobs whose records can't be read here.
+    /// Returns the ids of live jobs whose records can't be read here.
     pub fn unreadable_job_ids(&self) -> impl Iterator<Item = &String> {
         self.jobs.unreadable_ids()
     }
--- a/crates/control/src/leader/ledger.rs
+++ b/crates/control/src/leader/ledger.rs
@@ -41,7 +41,7 @@
 pub(super) struct PlacementLedger {
     /// Entries in the key-value store, by number.
     entries: BTreeMap<u64, LedgerEntry>,
-    /// Counter in entry numbers: how many entries this leader has numbered.
+    /// Number of entries that this leader has numbered: the counter in entry numbers.
     entries_written: u64,
     /// Freed placements that no entry in the key-value store lists as freed yet, oldest first.
     freed: Vec<FreedPlacement>,
@@ -53,12 +53,12 @@
 }
 
 impl PlacementLedger {
-    /// The number of each entry, with the number of its placements that are not freed.
+    /// Returns the number of each entry, with the number of its placements that are not freed.
     pub(super) fn live_placements(&self) -> impl Iterator<Item = (u64, u32)> {
         self.entries.iter().map(|(id, entry)| (*id, entry.live))
     }
 
-    /// A summary of the entries, live placements and freed placements, for the log.
+    /// Returns a summary of the entries, live placements and freed placements, for the log.
     pub(super) fn summary(&self) -> String {
         let live: u32 = self.entries.values().map(|entry| entry.live).sum();
         format!(
@@ -99,13 +99,13 @@
 }
 
 impl LedgerBatch {
-    /// Number of placements in its entries.
+    /// Returns the number of placements in its entries.
     fn placements(&self) -> u32 {
         let rows = self.entries.iter().flat_map(|(_, rows)| rows);
         rows.map(|row| row.task_count).sum()
     }
 
-    /// The key of its first entry; reading it shows whether the transaction was applied.
+    /// Returns the key of its first entry; reading it shows whether the transaction was applied.
     fn key(&self) -> String {
         keys::ledger(self.entries.first().map_or(0, |e| e.0))
     }
@@ -123,8 +123,8 @@
 }
 
 impl Leader {
-    /// The guard of every transaction of this leader: none is applied once the leader key has
-    /// changed.
+    /// Returns the guard of every transaction of this leader: none is applied once the leader key
+    /// has changed.
     pub fn leader_guard(&self) -> Guard {
         Guard {
             key: keys::LEADER.into(),
@@ -149,9 +149,9 @@
         });
     }
 
-    /// The next ledger transaction, if placements wait for one, or if enough entries can be dropped
-    /// or enough freed placements listed to justify a write. `None` while the last transaction is
-    /// in doubt.
+    /// Returns the next ledger transaction, if placements wait for one, or if enough entries can be
+    /// dropped or enough freed placements listed to justify a write. `None` while the last
+    /// transaction is in doubt.
     pub fn ledger_batch(&mut self) -> Option<LedgerBatch> {
         if self.ledger.in_doubt.is_some() {
             return None;
@@ -199,7 +199,7 @@
     }
 
     /// Adds the planned placements of one machine. From then on exactly the placements that the
-    /// draft accepted are in `Writing`.
+    /// draft accepted are in the stage `Writing`.
     fn draft_planned_on(
         &mut self,
         name: &str,
@@ -276,9 +276,9 @@
         }
     }
 
-    /// Number of entries above which the remaining live placements of the oldest are written again.
-    /// It falls as the maximum size of a value rises, so that a failover reads about as many bytes
-    /// in each case.
+    /// Returns the number of entries above which the remaining live placements of the oldest are
+    /// written again. It falls as the maximum size of a value rises, so that a failover reads about
+    /// as many bytes in each case.
     fn max_entries(&self) -> usize {
         let bytes = limits::LOG_ENTRIES_TARGET * limits::LOG_ENTRY_BYTES;
         let max_entries = bytes / self.store_limits.value_bytes.max(1);
--- a/crates/control/src/leader/ledger/draft.rs
+++ b/crates/control/src/leader/ledger/draft.rs
@@ -26,8 +26,8 @@
 }
 
 impl Draft {
-    /// An empty draft of at most `max_entries` entries, each a value of at most `max_entry_bytes`
-    /// bytes.
+    /// Returns an empty draft of at most `max_entries` entries, each a value of at most
+    /// `max_entry_bytes` bytes.
     pub(super) fn new(max_entry_bytes: usize, max_entries: usize) -> Draft {
         Draft {
             entries: vec![DraftEntry::default()],
@@ -37,8 +37,8 @@
         }
     }
 
-    /// The entry that has room for this many more bytes: the last one, or a new one if that is
-    /// full. `None` if the transaction is full.
+    /// Returns the entry that has room for this many more bytes: the last one, or a new one if that
+    /// is full. `None` if the transaction is full.
     fn entry_with_room(&mut self, bytes: usize) -> Option<&mut DraftEntry> {
         if bytes > self.bytes_left {
             return None;
@@ -171,7 +171,7 @@
         true
     }
 
-    /// Number of rows in all entries.
+    /// Returns the number of rows in all entries.
     pub(super) fn rows(&self) -> usize {
         self.entries.iter().map(|p| p.rows.len()).sum()
     }
--- a/crates/control/src/leader/ledger/job_guards.rs
+++ b/crates/control/src/leader/ledger/job_guards.rs
@@ -41,7 +41,7 @@
         });
     }
 
-    /// The collected guards.
+    /// Returns the collected guards.
     pub(super) fn into_guards(self) -> Vec<Guard> {
         self.guards
     }
--- a/crates/control/src/leader/ledger/outcome.rs
+++ b/crates/control/src/leader/ledger/outcome.rs
@@ -23,8 +23,8 @@
                 self.note_conflict(failed);
             }
             // A refused transaction is not in doubt: the key-value store has not executed it.
-            // Treating refusals as unknown would leave hundreds of keys to be read again after an
-            // outage.
+            // When refusals were treated as unknown, an outage left hundreds of keys to be read
+            // again.
             WriteOutcome::Refused => self.record_unwritten(batch),
             // The outcome is unknown, or the conflict is on the transaction's own key, which an
             // earlier try may have written: reading the entry decides. Its placements start only
--- a/crates/control/src/leader/ledger/replay.rs
+++ b/crates/control/src/leader/ledger/replay.rs
@@ -65,7 +65,7 @@
         Ok(replay)
     }
 
-    /// Number of live placements that a later entry lists as freed.
+    /// Returns the number of live placements that a later entry lists as freed.
     pub(in crate::leader) fn freed(&self) -> usize {
         self.freed
     }
@@ -98,7 +98,7 @@
     })
 }
 
-/// The attempt and the index of each task of a logged placement.
+/// Returns the attempt and the index of each task of a logged placement.
 fn tasks_of(placement: &LoggedPlacement) -> impl Iterator<Item = LoggedTask> {
     let LoggedPlacement(_, _, _, _, attempt, first_task, task_count) = *placement;
     let tasks = first_task..first_task.saturating_add(task_count);
--- a/crates/control/src/leader/machine.rs
+++ b/crates/control/src/leader/machine.rs
@@ -98,19 +98,19 @@
     pub(super) unreachable_logged: bool,
     /// Whether nothing more is placed on it, because of a spot notice or because tasks fail on it.
     pub(super) cordoned: bool,
-    /// Whether it is being emptied because the other machines have room; undone when they no longer
+    /// Whether it is being drained because the other machines have room; undone when they no longer
     /// do.
     pub(super) scaling_in: bool,
     /// Whether it is to be deleted, or is being deleted.
     pub(super) deleting: bool,
     /// Whether its newest heartbeat lists a task that must be stopped at once.
     pub(super) lists_unwanted_task: bool,
-    /// Failures by id of job, of tasks that failed here since one last succeeded here.
+    /// Failures of tasks on it since a task last succeeded on it, by job id.
     pub(super) failures_by_job: HashMap<String, JobFailures>,
 }
 
 impl Machine {
-    /// A machine that this leader has just learned of, and has not heard from yet.
+    /// Returns a machine that this leader has just learned of, and has not heard from yet.
     pub(super) fn new(machine_type: &str, zone: &str, spot: bool, now: f64) -> Machine {
         Machine {
             machine_type: machine_type.to_string(),
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The resources that its placements hold.
+    /// Returns the resources that its placements hold.
     pub(super) fn used_resources(&self) -> Resources {
         let sums = self.placements.sums();
         Resources {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Index among `placements` of the placement of a task that a heartbeat lists.
+    /// Returns the index among `placements` of the placement of a task that a heartbeat lists.
     pub(super) fn index_of(&self, task: &TaskStatus) -> Option<usize> {
         let mut placements = self.placements.iter();
         placements.position(|p| p.attempt == task.attempt && p.task_id == task.task)
--- a/crates/control/src/leader/machine_placements.rs
+++ b/crates/control/src/leader/machine_placements.rs
@@ -46,7 +46,7 @@
             .collect()
     }
 
-    /// The sums over all placements.
+    /// Returns the sums over all placements.
     pub(super) fn sums(&self) -> PlacementSums {
         if let Some(sums) = self.sums.get() {
             return sums;
@@ -56,7 +56,7 @@
         sums
     }
 
-    /// The sums, recomputed.
+    /// Returns the sums, recomputed.
     pub(super) fn compute_sums(&self) -> PlacementSums {
         let mut sums = PlacementSums::default();
         for placement in &self.placements {
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -206,19 +206,19 @@
             && heard < known * limits::NEW_LEADER_SETTLED_SHARE
     }
 
-    /// The term in which it leads.
+    /// Returns the term in which it leads.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// A number for a fencing token or an attempt: the term in its upper bits, then a counter that
-    /// both share. So numbers of a later term are always higher.
+    /// Returns a number for a fencing token or an attempt: the term in its upper bits, then a
+    /// counter that both share. So numbers of a later term are always higher.
     fn next_token(&mut self) -> u64 {
         self.tokens_issued += 1;
         (self.term << limits::TERM_SHIFT_BITS) | self.tokens_issued
     }
 
-    /// Machine, task and attempt of each placement that may be on a machine.
+    /// Returns the machine, task and attempt of each placement that may be on a machine.
     pub fn placements_held(&self) -> BTreeSet<(String, String, u64)> {
         let held_on = |(name, m): (&String, &Machine)| {
             let name = name.clone();
@@ -228,7 +228,7 @@
         self.machines.iter().flat_map(held_on).collect()
     }
 
-    /// Ids of all live jobs, sorted.
+    /// Returns the ids of all live jobs, sorted.
     pub fn live_job_ids(&self) -> Vec<String> {
         let mut ids: Vec<String> = self.jobs.ids().cloned().collect();
         ids.sort_unstable();
@@ -245,7 +245,7 @@
         self.store_limits = store_limits;
     }
 
-    /// Time of day, ms.
+    /// Returns the time of day, ms.
     fn wall_clock_ms(&self, now: f64) -> u64 {
         ((now + self.wall_clock_offset_s).max(0.0) * 1000.0) as u64
     }
@@ -260,7 +260,7 @@
         quota::record_release(&mut self.quota_usage, &mut self.jobs, p, zone);
     }
 
-    /// The level in which tasks of this key wait.
+    /// Returns the level in which tasks of this key wait.
     fn queue_level(&mut self, key: &str, now: f64) -> usize {
         if self.settings.policy.levels {
             self.predictor.level(key, now)
--- a/crates/control/src/leader/placement.rs
+++ b/crates/control/src/leader/placement.rs
@@ -79,7 +79,7 @@
 }
 
 impl Placement {
-    /// The resources that it holds.
+    /// Returns the resources that it holds.
     pub(super) fn request(&self) -> Resources {
         Resources {
             cpus: self.cpus,
--- a/crates/control/src/leader/progress.rs
+++ b/crates/control/src/leader/progress.rs
@@ -50,7 +50,7 @@
         (stored, done)
     }
 
-    /// Revision of a part's record; 0 if there is none.
+    /// Returns the revision of a part's record; 0 if there is none.
     pub(super) fn revision(&self, part: u32) -> u64 {
         self.parts.get(&part).map_or(0, |stored| stored.revision)
     }
@@ -68,14 +68,15 @@
         stored.bytes.clear();
     }
 
-    /// Numbers of the stored parts after the first.
+    /// Returns the numbers of the stored parts after the first.
     fn later_parts(&self) -> impl Iterator<Item = u32> {
         self.parts.keys().copied().filter(|part| *part > 0)
     }
 
-    /// The parts to write, with their bytes: the whole bitmap if its record fits `max_whole_bytes`,
-    /// else the parts that changed, the first one last. Part 0 may still hold the whole bitmap: the
-    /// other parts are written before it shrinks to its own tasks, so nothing is lost in between.
+    /// Returns the parts to write, with their bytes: the whole bitmap if its record fits
+    /// `max_whole_bytes`, else the parts that changed, the first one last. Part 0 may still hold
+    /// the whole bitmap: the other parts are written before it shrinks to its own tasks, so nothing
+    /// is lost in between.
     pub(super) fn parts_to_write(&self, done: &Bitmap, max_whole_bytes: usize) -> PartBytes {
         let whole = done.chunk(0, usize::MAX).unwrap_or_default();
         let record = ProgressRecord {
--- a/crates/control/src/leader/quota_headroom.rs
+++ b/crates/control/src/leader/quota_headroom.rs
@@ -1,4 +1,4 @@
-//! Quota headroom: the CPUs and accelerators that teams' quotas leave for more tasks.
+//! Quota headroom: the CPUs and GPUs that teams' quotas leave for more tasks.
 
 use super::{JobIndex, JobTable, Leader};
 use crate::Team;
@@ -51,8 +51,8 @@
         self.left.cpus >= spec.cpus && self.gpu_task_count(spec) >= 1.0
     }
 
-    /// Returns how many of `tasks` the limit on accelerators lets run at once, and subtracts their
-    /// accelerators from the headroom.
+    /// Returns how many of `tasks` the limit on GPUs lets run at once, and subtracts their
+    /// GPUs from the headroom.
     pub(super) fn take_gpus(&mut self, spec: &Submission, tasks: f64) -> f64 {
         let tasks = tasks.min(self.gpu_task_count(spec));
         self.left.gpus -= tasks * spec.gpus;
@@ -60,7 +60,7 @@
     }
 
     /// Returns the CPUs that `tasks` may use at once, and subtracts these and the tasks'
-    /// accelerators from the headroom.
+    /// GPUs from the headroom.
     pub(super) fn take(&mut self, spec: &Submission, tasks: f64) -> f64 {
         let by_cpus = if spec.cpus > 0.0 {
             self.left.cpus / spec.cpus
@@ -73,7 +73,7 @@
         cpus
     }
 
-    /// Returns how many tasks of the submission the limit on accelerators lets run.
+    /// Returns how many tasks of the submission the limit on GPUs lets run.
     fn gpu_task_count(self, spec: &Submission) -> f64 {
         if spec.gpus > 0.0 {
             ((self.left.gpus + ROUNDING) / spec.gpus).floor().max(0.0)
--- a/crates/control/src/leader/recovery.rs
+++ b/crates/control/src/leader/recovery.rs
@@ -104,7 +104,8 @@
     by_job
 }
 
-/// The tasks of each job that the ledger places on a machine. The replay has checked the entries.
+/// Returns the tasks of each job that the ledger places on a machine. The replay has checked the
+/// entries.
 fn placed_tasks_by_job(
     ledger: &[(u64, PlacementLogRecord)],
     replay: &LogReplay,
--- a/crates/control/src/leader/scheduler/pending.rs
+++ b/crates/control/src/leader/scheduler/pending.rs
@@ -19,7 +19,7 @@
     pub(super) priority: Priority,
     pub(super) tenant_class: TenantClassId,
     pub(super) best_effort: bool,
-    /// Resources that each task counts against the team's quota: CPUs and accelerators.
+    /// Resources that each task counts against the team's quota: CPUs and GPUs.
     pub(super) quota_request: Resources,
     /// Expected run time of a task, s.
     pub(super) expected_run_s: f64,
@@ -88,7 +88,7 @@
     pub(super) bands: Vec<PriorityBand>,
     /// The positions of all ranges, linked for each job.
     pub(super) positions: Vec<PositionLink>,
-    /// The smallest CPUs, accelerators and memory that any pending task requests: a machine with
+    /// The smallest CPUs, GPUs and memory that any pending task requests: a machine with
     /// less free needs no examination.
     pub(super) smallest_request: Resources,
 }
--- a/crates/control/src/leader/snapshots.rs
+++ b/crates/control/src/leader/snapshots.rs
@@ -39,7 +39,7 @@
 }
 
 impl Leader {
-    /// The learned run times, with as many keys as fit one value.
+    /// Returns the learned run times, with as many keys as fit one value.
     pub fn histograms_snapshot(&self) -> HistogramsRecord {
         let PredictorSnapshot { pooled, keys } = self.predictor.snapshot();
         let keys = keys.into_iter();
@@ -58,9 +58,9 @@
         }
     }
 
-    /// The images on each machine: without them a new leader would have all images fetched again.
-    /// While a controller of the previous version may become leader, the snapshot is limited to
-    /// what one value holds: that version can't read a value in chunks.
+    /// Returns the images on each machine: without them a new leader would have all images fetched
+    /// again. While a controller of the previous version may become leader, the snapshot is limited
+    /// to what one value holds: that version can't read a value in chunks.
     pub fn image_snapshot(&self, now: f64) -> ImageCacheRecord {
         let max_bytes = match self.store_limits.chunks_enabled() {
             true => limits::IMAGE_CACHE_BYTES_MAX,
@@ -111,7 +111,8 @@
         }
     }
 
-    /// The images that an earlier leader knew to be on a machine that this one has just learned of.
+    /// Returns the images that an earlier leader knew to be on a machine that this one has just
+    /// learned of.
     pub(super) fn take_image_hints(&mut self, machine: &str, now: f64) -> Vec<CachedImage> {
         let hints = self.image_cache_hints.remove(machine).unwrap_or_default();
         let image = |hint: ImageHint| CachedImage {
@@ -124,7 +125,8 @@
     }
 }
 
-/// The images on the most machines, as many as fit, in their stored form: these matter most.
+/// Returns the images on the most machines, as many as fit, in their stored form: these matter
+/// most.
 fn most_common_images(
     images: BTreeMap<u64, ImageOnMachines>,
     max_bytes: usize,
--- a/crates/control/src/leader/worker_restarts.rs
+++ b/crates/control/src/leader/worker_restarts.rs
@@ -1,10 +1,11 @@
 //! Reconciliation with workers that restarted under the name of their machine.
 //!
 //! The newest message of a worker has the largest incarnation and sequence number, as long as the
-//! worker counts on. A restarted worker begins at incarnation 1: its heartbeats look older than
-//! those from before, and would be dropped. So a machine whose heartbeats all look stale is queried
-//! for its status. The response to a query that was sent after the newest heartbeat had arrived is
-//! newer than that heartbeat; if its numbers or its token are smaller, the worker restarted.
+//! worker keeps its counters. A restarted worker begins at incarnation 1: its heartbeats look older
+//! than those from before, and would be dropped. So a machine whose heartbeats all look stale is
+//! queried for its status. The response to a query that was sent after the newest heartbeat had
+//! arrived is newer than that heartbeat; if its numbers or its token are smaller, the worker
+//! restarted.
 //!
 //! From then on nothing counts as proof before the machine has shown a token issued after the
 //! restart; once it has, heartbeats that show an older token are stale.
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The workers to query for their status now, `limits::DIRECT_CONTACT_MACHINES_MAX` at a time.
-    /// Each is returned once; a call of `status_query_done` with the same time must follow.
+    /// Returns the workers to query for their status now, `limits::DIRECT_CONTACT_MACHINES_MAX` at
+    /// a time. Each is returned once; a call of `status_query_done` with the same time must follow.
     pub fn due_status_queries(&mut self, now: f64) -> Vec<StatusQuery> {
         let mut queries = Vec::new();
         for (name, machine) in &mut self.machines {
