--- a/crates/control/src/leader/direct_commands.rs
+++ b/crates/control/src/leader/direct_commands.rs
@@ -94,7 +94,7 @@
                 .starts_awaiting_response
                 .remove(&(task.clone(), *attempt));
             if outcome == CommandOutcome::NotExecuted {
-                machine.start_was_rejected(task, *attempt);
+                machine.record_rejected_start(task, *attempt);
             }
         }
         // A stop that is executed late ends only its own attempt.
@@ -202,7 +202,7 @@
 
     /// Records that a direct start had no effect: it may be sent again, unless a response to a
     /// heartbeat carried it as well.
-    fn start_was_rejected(&mut self, task: &str, attempt: u64) {
+    fn record_rejected_start(&mut self, task: &str, attempt: u64) {
         let placement = self.placements.iter_mut().find(|p| p.task_id == task);
         if let Some(placement) = placement
             && placement.attempt == attempt
--- a/crates/control/src/leader/job_batch.rs
+++ b/crates/control/src/leader/job_batch.rs
@@ -188,8 +188,8 @@
 
 impl Leader {
     /// Returns the next job transaction: cancellations that follow from others, else final states,
-    /// else progress, else deletions of obsolete records; the last two only if `progress_too`.
-    pub fn job_batch(&mut self, progress_too: bool, now: f64) -> Option<JobBatch> {
+    /// else progress, else deletions of obsolete records; the last two only if `with_progress`.
+    pub fn job_batch(&mut self, with_progress: bool, now: f64) -> Option<JobBatch> {
         let max_changes = self.max_job_changes();
         let at_ms = Some(self.wall_clock_ms(now));
         let mut builder = JobBatchBuilder::new(self.leader_guard(), max_changes);
@@ -197,11 +197,11 @@
         let dirty = self.jobs.prune_dirty();
         if builder.batch.cancelled_dependents.is_empty() {
             self.add_final_states(&mut builder, &dirty, at_ms);
-            if progress_too && builder.batch.finals.is_empty() {
+            if with_progress && builder.batch.finals.is_empty() {
                 self.add_progress(&mut builder, &dirty);
             }
         }
-        if progress_too && builder.batch.txn.changes.is_empty() {
+        if with_progress && builder.batch.txn.changes.is_empty() {
             for key in self.obsolete_keys.iter().take(max_changes) {
                 builder.add_deletion(key);
             }
--- a/crates/control/src/leader/ledger/draft.rs
+++ b/crates/control/src/leader/ledger/draft.rs
@@ -43,7 +43,7 @@
         if bytes > self.bytes_left {
             return None;
         }
-        let last = self.entries.last().map_or(0, |p| p.bytes);
+        let last = self.entries.last().map_or(0, |entry| entry.bytes);
         if last > 0 && last + bytes > self.max_entry_bytes {
             if self.entries.len() >= self.max_entries {
                 return None;
@@ -173,6 +173,6 @@
 
     /// Returns the number of rows in all entries.
     pub(super) fn rows(&self) -> usize {
-        self.entries.iter().map(|p| p.rows.len()).sum()
+        self.entries.iter().map(|entry| entry.rows.len()).sum()
     }
 }
