--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,5 +1,4 @@
-//! A small HTTP/1.1 client for one address, with keep-alive connections and without
-//! pipelining.
+//! An HTTP/1.1 client for one address, with keep-alive connections and without pipelining.
 
 use crate::idle_connections::IdleConnections;
 use crate::{NetError, NotExecutedCause, Runtime, Stream};
@@ -7,14 +6,14 @@
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Most headers that a response may have.
+/// Maximum number of headers in a response.
 const HEADERS_MAX: usize = 32;
 
-/// Bytes of the read buffer at first; most responses fit.
+/// Initial capacity of the read buffer in bytes; most responses fit.
 const READ_BUFFER_BYTES: usize = 2048;
 
-/// A client of one address. Each request has a connection for itself, an idle one if there
-/// is any.
+/// An HTTP client for one address. Each request has a connection to itself: an idle one if
+/// there is any, otherwise a new one.
 #[derive(Debug)]
 pub struct HttpClient {
     runtime: Runtime,
@@ -29,14 +28,14 @@
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
-    /// Seconds that the other side asks to wait before repeating the request.
+    /// Seconds to wait before repeating the request, as the server asks (`Retry-After`).
     pub retry_after_s: Option<f64>,
-    /// Whether the other side closes the connection after it.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
 }
 
 impl HttpClient {
-    /// A client without connections yet.
+    /// Creates a client without open connections.
     pub fn new(runtime: &Runtime, address: SocketAddr) -> Self {
         HttpClient {
             runtime: runtime.clone(),
@@ -55,8 +54,8 @@
     ///
     /// # Cancel safety
     ///
-    /// If it is dropped, the request may have been sent and may be executed. Its connection
-    /// is closed, so its response can't meet another request.
+    /// If the future is dropped, the request may have been sent and may be executed. Its
+    /// connection is closed, so its response can't be taken for that of another request.
     pub async fn send(
         &self,
         method: &str,
@@ -102,22 +101,22 @@
     }
 }
 
-/// A request as errors name it.
+/// Names a request in errors.
 fn describe(method: &str, path: &str, address: SocketAddr) -> String {
     format!("{method} {path} at {address}")
 }
 
-/// Sends one request on an open connection and reads the response, for as long as it takes.
+/// Sends one request on an open connection and reads the response, without a timeout.
 ///
 /// # Errors
 ///
-/// [`NetError::OutcomeUnknown`] if the connection fails, [`NetError::InvalidResponse`]. The
-/// connection must not be used again after either.
+/// [`NetError::OutcomeUnknown`] if the connection fails, [`NetError::InvalidResponse`] if the
+/// response isn't acceptable HTTP. The connection must not be used again after either.
 ///
 /// # Cancel safety
 ///
-/// If it is dropped, part of the request may have been sent or part of the response read:
-/// the connection must not be used again.
+/// If the future is dropped, part of the request may have been sent or part of the response
+/// read: the connection must not be used again.
 pub async fn exchange(
     stream: &mut Stream,
     to: SocketAddr,
@@ -155,13 +154,13 @@
 
 /// Why a response could not be read.
 enum ReadError {
-    /// The connection failed or ended.
+    /// The connection failed or was closed.
     Connection(String),
-    /// It is not HTTP, or of a form that this client does not accept.
+    /// The response is not HTTP, or uses a form of it that this client does not accept.
     Invalid(&'static str),
 }
 
-/// The head of a response.
+/// The parsed head of a response.
 struct ResponseHead {
     /// Bytes of the head itself.
     head_bytes: usize,
@@ -199,7 +198,7 @@
     }
 }
 
-/// The head that the bytes begin with; None if it isn't complete.
+/// Parses the head at the start of the bytes; None if it isn't complete.
 fn parse_head(bytes: &[u8]) -> Result<Option<ResponseHead>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut response = httparse::Response::new(&mut headers);
--- a/crates/net/src/cloud.rs
+++ b/crates/net/src/cloud.rs
@@ -10,21 +10,21 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 
-/// Share of the cloud's rate that the leader uses. Only the leader talks to the cloud, but
-/// for a read of the machine types when a controller starts; the rest is left for that.
+/// Share of the cloud's rate limit that the leader uses. Apart from the leader, controllers
+/// only read the machine types when they start; the rest is left for that.
 const RATE_SHARE: f64 = 0.85;
 
-/// Smallest rate in requests per second, whatever the settings say.
+/// Lower bound of the rate in requests per second, whatever the settings say.
 const RATE_MIN_RPS: f64 = 1.0;
 
-/// Machines in a page of the list, the most that the protocol allows.
+/// Machines in a page of the list: the maximum that the protocol allows.
 const LIST_PAGE_MACHINES: usize = 500;
 
-/// A client of the cloud that keeps to its rate.
+/// A client of the cloud's API that keeps to its rate limit.
 ///
-/// Every call waits for the rate first, then at most [`limits::CLOUD_TIMEOUT_S`] for the
-/// response. If a call is dropped meanwhile, its request may have been sent and may be
-/// executed, even minutes later.
+/// Every call first waits until the rate limit allows it, then at most
+/// [`limits::CLOUD_TIMEOUT_S`] for the response. If a call is dropped before it completes, its
+/// request may have been sent and may be executed, even minutes later.
 #[derive(Debug)]
 pub struct CloudClient {
     runtime: Runtime,
@@ -33,7 +33,7 @@
 }
 
 impl CloudClient {
-    /// A client for a cloud that allows `rps` requests per second.
+    /// Creates a client for a cloud that allows `rps` requests per second.
     pub fn new(runtime: &Runtime, address: SocketAddr, rps: f64) -> Self {
         CloudClient {
             runtime: runtime.clone(),
@@ -42,22 +42,23 @@
         }
     }
 
-    /// The machine types with their current prices.
+    /// Returns the machine types with their current prices.
     ///
     /// # Errors
     ///
-    /// As of [`HttpClient::send`], and [`NetError::NotExecuted`] if the cloud refuses.
+    /// Those of [`HttpClient::send`], [`NetError::NotExecuted`] if the cloud refuses, and
+    /// [`NetError::UnexpectedStatus`].
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, NetError> {
         let body = self.call("GET", "/machine_types", None).await?;
         let response: MachineTypes = decode("GET /machine_types", &body)?;
         Ok(response.types)
     }
 
-    /// Rents machines; returns their names, none if there is no capacity.
+    /// Rents machines and returns their names; none if the cloud has no capacity.
     ///
     /// # Errors
     ///
-    /// As of [`CloudClient::machine_types`]. After [`NetError::OutcomeUnknown`] the same
+    /// Those of [`CloudClient::machine_types`]. After [`NetError::OutcomeUnknown`] the same
     /// request may be sent again: its id makes it idempotent.
     pub async fn rent_machines(&self, request: &RentalRequest) -> Result<Vec<String>, NetError> {
         let body = cherrywood_wire::encode(request);
@@ -74,13 +75,13 @@
         }
     }
 
-    /// Deletes machines. Ok only if the cloud answered 200: they are gone. The body of that
-    /// response is not read.
+    /// Deletes machines. Ok only if the cloud responded with 200, which means that they are
+    /// gone. The body of that response is not decoded.
     ///
     /// # Errors
     ///
-    /// As of [`CloudClient::machine_types`]. Only a known status proves the deletion, so a
-    /// response that is no acceptable HTTP is an error like the others.
+    /// Those of [`CloudClient::machine_types`]. Only a known status proves the deletion, so a
+    /// response that is not acceptable HTTP is an error as well.
     pub async fn delete_machines(&self, names: &[String]) -> Result<(), NetError> {
         let body = cherrywood_wire::encode(&MachineNames {
             machines: names.to_vec(),
@@ -89,11 +90,11 @@
         Ok(())
     }
 
-    /// All machines that the cloud lists, page by page; the list lags behind.
+    /// Reads the cloud's list of machines, page by page. The list may be out of date.
     ///
     /// # Errors
     ///
-    /// As of [`CloudClient::machine_types`].
+    /// Those of [`CloudClient::machine_types`].
     pub async fn list_machines(&self) -> Result<Vec<ListedMachine>, NetError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Sends one request and returns the body of a 200.
+    /// Sends one request and returns the body of a 200 response.
     async fn call(
         &self,
         method: &str,
@@ -148,7 +149,7 @@
     }
 }
 
-/// What the cloud's error says if it has no machines of the wanted kind.
+/// Text in the cloud's error response if it has no machines of the requested kind.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
 fn has_no_capacity(body: &[u8]) -> bool {
--- a/crates/net/src/connection_pool.rs
+++ b/crates/net/src/connection_pool.rs
@@ -1,54 +1,55 @@
-//! The connections that a server has open: a pool with an upper bound.
+//! A bounded pool of the connections that a server has open.
 //!
-//! A connection is *active* while a request on it is read, handled and answered, and *idle*
-//! otherwise. A new connection never has to wait for idle ones: when the pool is full, the
-//! idle connection that was used least recently is evicted, users' before workers'. An
-//! active connection is never evicted; while all are active, new ones are refused.
+//! A connection is *active* while a request on it is read, handled and responded to, and
+//! *idle* otherwise. A new connection never has to wait for idle ones: when the pool is full,
+//! the least recently used idle connection is evicted, users' before workers'. An active
+//! connection is never evicted; while all are active, new ones are refused.
 //!
-//! An evicted connection costs its owner a failed request: the next one finds it closed.
-//! Places are therefore won by closing connections where nothing can be lost, with the answer
-//! to a request (`Connection: close`), users' before workers'. Only so many stay idle that
-//! all users who may be active at a time find room beside them, whether they are active now or
-//! not:
+//! An eviction costs the client a failed request, since its next one finds the connection
+//! closed. Slots are therefore freed by closing connections where nothing can be lost: with
+//! the response to a request (`Connection: close`), users' before workers'. The number of idle
+//! connections is bounded so that all users who may be active at a time find room beside them,
+//! whether they are active now or not:
 //!
 //! `idle + max_active_users <= max_open_to_keep_workers <= max_connections`
 //!
 //! So an idle connection is evicted only if new connections, active workers and refused users
-//! together take more than `max_connections - max_open_to_keep_workers` places.
+//! together take more than `max_connections - max_open_to_keep_workers` slots.
 //!
-//! Uses are counted, not timed: the order of eviction doesn't depend on a clock.
+//! The order of eviction follows a counter of uses, so it doesn't depend on a clock.
 
 use cherrywood_limits as limits;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::oneshot;
 
-/// Whom a connection serves, by its last request. In order of eviction.
+/// Kind of client that a connection serves, by its last request. In order of eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionClass {
-    /// A user, who asks again if the connection fails.
+    /// A user, who repeats the request if the connection fails.
     User,
     /// A worker, whose lease depends on its heartbeats; a health check; or a connection
-    /// that has not asked for anything yet and may become either.
+    /// without a request yet, which may turn out to be of either class.
     Worker,
 }
 
 /// How many connections a pool may hold, and for what.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolLimits {
-    /// Connections open at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Connections open up to which a user's is kept after an answer, the places that active
-    /// users may take counted as open.
+    /// Number of open connections up to which a user's is kept after a response; the slots
+    /// that active users may take are counted as open.
     pub max_open_to_keep_users: usize,
-    /// The same for a worker's.
+    /// The same bound for a worker's connection.
     pub max_open_to_keep_workers: usize,
-    /// Requests of users handled at once; the others are refused with 503.
+    /// Maximum number of users' requests handled at once; others are refused with 503.
     pub max_active_users: usize,
 }
 
 impl PoolLimits {
-    /// One class, and every connection kept until it is evicted.
+    /// Returns limits that treat all classes alike and keep every connection until it is
+    /// evicted.
     pub fn uniform(max_connections: usize) -> Self {
         PoolLimits {
             max_connections,
@@ -58,7 +59,8 @@
         }
     }
 
-    /// What a controller with so many sockets serves: it needs others for its own requests.
+    /// Returns the limits of a controller with this number of sockets, some of which it needs
+    /// for its own requests.
     pub fn for_sockets(sockets: usize) -> Self {
         let share_of = |all: usize, share: f64| (all as f64 * share) as usize;
         let max_connections =
@@ -78,9 +80,9 @@
         }
     }
 
-    /// Connections that may be idle for one of this class to become idle as well, so that
-    /// users still find their whole share of the pool. Where that share is the pool itself,
-    /// nothing can be set aside for it.
+    /// Number of idle connections below which one more of this class may become idle, so that
+    /// users still find their whole share of the pool. Where that share is the whole pool,
+    /// nothing can be reserved for it.
     fn max_idle(&self, class: ConnectionClass) -> usize {
         if self.max_active_users >= self.max_connections {
             return self.max_connections;
@@ -90,17 +92,17 @@
     }
 }
 
-/// Place of an idle connection in the order of eviction: the smallest goes first.
+/// Position of an idle connection in the order of eviction: the smallest is evicted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionOrder {
     class: ConnectionClass,
     last_use: u64,
 }
 
-/// What became of connections and requests since the pool was made.
+/// Counts of connections and requests by outcome, since the pool was created.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PoolCounts {
-    /// Connections that got a place.
+    /// Connections admitted to the pool.
     pub admitted: u64,
     /// Connections refused because all others were active.
     pub refused_full: u64,
@@ -114,21 +116,21 @@
     pub answered_after_eviction: u64,
     /// Users' requests refused since as many were handled as may be.
     pub refused_users: u64,
-    /// Users' connections closed with an answer to make room.
+    /// Users' connections closed with a response to make room.
     pub closed_users: u64,
-    /// Workers' connections closed with an answer to make room.
+    /// Workers' connections closed with a response to make room.
     pub closed_workers: u64,
     /// Connections closed because no request came for too long.
     pub idle_timeouts: u64,
 }
 
 impl PoolCounts {
-    /// Idle connections that were evicted.
+    /// Returns the number of idle connections evicted.
     pub fn evicted(&self) -> u64 {
         self.evicted_users + self.evicted_workers + self.evicted_unused
     }
 
-    /// Connections and requests that were refused.
+    /// Returns the number of connections and requests refused.
     pub fn refused(&self) -> u64 {
         self.refused_full + self.refused_users
     }
@@ -136,7 +138,7 @@
 
 #[derive(Debug, Default)]
 struct PoolState {
-    /// Connections that hold a place: idle and active ones.
+    /// Connections that hold a slot: idle and active ones.
     open: usize,
     active_users: usize,
     idle: BTreeMap<EvictionOrder, IdleConnection>,
@@ -147,18 +149,18 @@
 #[derive(Debug)]
 struct IdleConnection {
     evict: oneshot::Sender<()>,
-    /// No request has arrived on it yet.
+    /// Whether no request has arrived on it yet.
     unused: bool,
 }
 
 impl PoolState {
-    /// Ends the idle connection that is first in the order of eviction; its place is free
-    /// for another. False if there is none.
+    /// Evicts the idle connection that is first in the order of eviction, which frees its slot
+    /// for another. Returns false if no connection is idle.
     fn evict_first(&mut self) -> bool {
         let Some((order, connection)) = self.idle.pop_first() else {
             return false;
         };
-        // A connection that closes by itself just now needs no signal.
+        // Sending fails if the connection is closing by itself, which needs no signal.
         let _ = connection.evict.send(());
         match order.class {
             _ if connection.unused => self.counts.evicted_unused += 1,
@@ -169,7 +171,7 @@
     }
 }
 
-/// The connections of one server.
+/// The pool of one server's connections.
 #[derive(Debug)]
 pub struct ConnectionPool {
     limits: PoolLimits,
@@ -177,7 +179,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(limits: PoolLimits) -> Arc<Self> {
         Arc::new(ConnectionPool {
             limits,
@@ -186,22 +188,22 @@
     }
 
     fn state(&self) -> MutexGuard<'_, PoolState> {
-        // Every change of the state is complete, whatever panicked.
+        // Every change of the state is complete even if a holder of the lock panicked.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What became of connections and requests until now.
+    /// Returns the counts of connections and requests until now.
     pub fn counts(&self) -> PoolCounts {
         self.state().counts
     }
 
-    /// Connections open now.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.state().open
     }
 
-    /// A place for a new connection, if need be that of an idle one, which is evicted; `None`
-    /// if all connections are active.
+    /// Admits a new connection, if necessary in the slot of an idle one, which is evicted.
+    /// Returns `None` if all connections are active.
     pub fn admit(self: &Arc<Self>) -> Option<PooledConnection> {
         let mut state = self.state();
         if state.open < self.limits.max_connections {
@@ -226,23 +228,24 @@
 enum Phase {
     Active,
     Idle(EvictionOrder),
-    /// Its place belongs to another connection.
+    /// Its slot belongs to another connection.
     Evicted,
 }
 
-/// One connection's place in its pool, until it is dropped.
+/// One connection's slot in its pool, held until it is dropped.
 #[derive(Debug)]
 pub struct PooledConnection {
     pool: Arc<ConnectionPool>,
     class: ConnectionClass,
     phase: Phase,
-    /// No request has arrived on it yet.
+    /// Whether no request has arrived on it yet.
     unused: bool,
     counts_as_active_user: bool,
 }
 
 impl PooledConnection {
-    /// The connection waits for a request; it must close when the receiver gets a message.
+    /// Marks the connection as waiting for a request. It must close when the returned receiver
+    /// gets a message.
     pub fn set_idle(&mut self) -> oneshot::Receiver<()> {
         let (evict, evicted) = oneshot::channel();
         let mut state = self.pool.state();
@@ -262,7 +265,7 @@
         evicted
     }
 
-    /// A request has begun to arrive.
+    /// Marks the connection as active: a request has begun to arrive.
     pub fn set_active(&mut self) {
         if let Phase::Idle(order) = self.phase {
             let still_idle = self.pool.state().idle.remove(&order).is_some();
@@ -274,8 +277,8 @@
         }
     }
 
-    /// May this request be handled now? At most `max_active_users` requests of users are
-    /// handled at a time.
+    /// Begins a request and returns whether it may be handled now. At most `max_active_users`
+    /// requests of users are handled at a time.
     pub fn begin_request(&mut self, class: ConnectionClass) -> bool {
         self.class = class;
         self.unused = false;
@@ -294,7 +297,7 @@
         true
     }
 
-    /// Does the connection stay open after the answer that is sent now?
+    /// Returns whether the connection stays open after the response that is about to be sent.
     pub fn keep_alive(&self) -> bool {
         if matches!(self.phase, Phase::Evicted) {
             return false;
@@ -311,7 +314,7 @@
         keep
     }
 
-    /// No request came for too long; the connection is about to close.
+    /// Counts a connection that is about to close because no request came for too long.
     pub fn record_idle_timeout(&self) {
         self.pool.state().counts.idle_timeouts += 1;
     }
--- a/crates/net/src/error.rs
+++ b/crates/net/src/error.rs
@@ -1,18 +1,19 @@
-//! What may become of a request that has no usable response.
+//! Errors of requests that have no usable response.
 
-/// A request that has no usable response. `request` names it: method, path and address, or
-/// what was asked of another controller.
+/// The outcome of a request that has no usable response. `request` names it: method, path and
+/// address, or what was asked of another controller.
 #[derive(Debug, thiserror::Error, Clone, PartialEq, Eq)]
 pub enum NetError {
-    /// It was certainly not executed, so it may be repeated as it is.
+    /// The request was certainly not executed, so it may be repeated unchanged.
     #[error("{request}: not executed: {cause}")]
     NotExecuted {
         /// The request.
         request: String,
-        /// Why not.
+        /// Why it was not executed.
         cause: NotExecutedCause,
     },
-    /// It may have been executed, or may still be: the connection failed or time ran out.
+    /// The request may have been executed, or may still be: the connection failed or the
+    /// request timed out.
     #[error("{request}: outcome unknown: {cause}")]
     OutcomeUnknown {
         /// The request.
@@ -20,7 +21,7 @@
         /// How it failed.
         cause: String,
     },
-    /// It was not executed, for its size: made smaller it may be.
+    /// The request was not executed because of its size; a smaller one may be.
     #[error("{request}: larger than the key-value store accepts")]
     TooLarge {
         /// The request.
@@ -31,10 +32,10 @@
     UnexpectedStatus {
         /// The request.
         request: String,
-        /// Its status.
+        /// The response's status.
         status: u16,
     },
-    /// The response can't be read.
+    /// The response can't be parsed or decoded.
     #[error("{request}: invalid response: {problem}")]
     InvalidResponse {
         /// The request.
@@ -50,17 +51,17 @@
     /// No connection could be opened.
     #[error("can't connect: {0}")]
     Connect(String),
-    /// Opening a connection took too long.
+    /// No connection was opened in time.
     #[error("connecting timed out")]
     ConnectTimeout,
-    /// The other side refused it with this status.
+    /// The server refused the request with this status.
     #[error("status {0}")]
     Status(u16),
-    /// This controller's share of the store's rates is used up for longer than the request
-    /// may wait.
+    /// This controller's share of the store's rate limits is used up for longer than the
+    /// request may wait.
     #[error("over this controller's share of the rate")]
     OverRateShare,
-    /// The cloud has no machines of the wanted kind.
+    /// The cloud has no machines of the requested kind.
     #[error("no capacity")]
     NoCapacity,
     /// Another controller has become the leader.
@@ -69,7 +70,7 @@
 }
 
 impl NetError {
-    /// An invalid response to a request.
+    /// Creates the error for an invalid response to a request.
     pub fn invalid(request: &str, problem: impl ToString) -> NetError {
         NetError::InvalidResponse {
             request: request.to_string(),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// A request whose outcome is unknown.
+    /// Creates the error for a request whose outcome is unknown.
     pub(crate) fn unknown(request: &str, cause: impl ToString) -> NetError {
         NetError::OutcomeUnknown {
             request: request.to_string(),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// A request that was not executed.
+    /// Creates the error for a request that was not executed.
     pub fn not_executed(request: &str, cause: NotExecutedCause) -> NetError {
         NetError::NotExecuted {
             request: request.to_string(),
--- a/crates/net/src/hedge.rs
+++ b/crates/net/src/hedge.rs
@@ -1,8 +1,8 @@
-//! Hedged requests: one that has no response for a while is sent again, beside the first, and
-//! the first usable response counts.
+//! Hedged requests: a request without a response after some time is sent again in parallel to
+//! the first, and the first usable response is taken.
 //!
-//! Only for requests that change nothing. Each repetition is paid from the client's
-//! [`RetryBudget`], so that a service that answers nobody gets no more for it.
+//! Only for requests that change nothing. Each repetition spends from the client's
+//! [`RetryBudget`], so that hedging adds no load to a service that responds to nobody.
 
 use crate::retry::RetryBudget;
 use crate::{NetError, Runtime};
@@ -13,11 +13,11 @@
 /// When a hedged request is sent again.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HedgePolicy {
-    /// Requests in all, the first among them.
+    /// Maximum number of requests, including the first.
     pub max_requests: usize,
-    /// Seconds without a response before another is sent.
+    /// Seconds without a response after which another request is sent.
     pub interval_s: f64,
-    /// Seconds for all of them together.
+    /// Timeout in seconds for all requests together.
     pub timeout_s: f64,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl<T, F: Future<Output = Result<T, NetError>>> Pending<F> {
-    /// The first usable response; the last error once all have failed.
+    /// Polls the requests for the first usable response; the last error once all have failed.
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<Result<T, NetError>> {
         let mut next = 0;
         while next < self.requests.len() {
@@ -52,16 +52,16 @@
     }
 }
 
-/// Sends a request that changes nothing, again if it has no response for a while. A response
-/// that is an error ends the wait if no other request is under way.
+/// Sends a request that changes nothing, and sends it again while it has no response. An error
+/// ends the wait if no other request is pending.
 ///
 /// # Errors
 ///
-/// The last error once all requests have failed; [`NetError::OutcomeUnknown`] if time runs out.
+/// The last error once all requests have failed; [`NetError::OutcomeUnknown`] on timeout.
 ///
 /// # Cancel safety
 ///
-/// If it is dropped, its requests may have been sent.
+/// If the future is dropped, its requests may have been sent.
 pub async fn send_hedged<T, F>(
     runtime: &Runtime,
     budget: &RetryBudget,
--- a/crates/net/src/idle_connections.rs
+++ b/crates/net/src/idle_connections.rs
@@ -1,9 +1,9 @@
-//! Unused connections that a client keeps for its next requests.
+//! Idle connections that a client keeps for its next requests.
 //!
-//! The other end may close one at any time. One that is found closed is dropped before
-//! anything is sent on it, so that no request fails, or has an unknown outcome, only because its
-//! connection had ended before. A close that crosses the request can't be told apart from
-//! a failure after its execution: that request is not repeated here.
+//! The server may close an idle connection at any time. A connection that is found closed is
+//! dropped before anything is sent on it, so that no request fails, or has an unknown outcome,
+//! only because its connection had been closed before. A close that crosses the request can't
+//! be distinguished from a failure after its execution: that request is not repeated here.
 
 use crate::{Stream, lock};
 use cherrywood_limits as limits;
@@ -12,14 +12,14 @@
 use std::task::{Context, Waker};
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// Unused connections to one address; the one used last is used first.
+/// Idle connections to one address; the most recently used one is taken first.
 #[derive(Debug)]
 pub(crate) struct IdleConnections {
     max_connections: usize,
     connections: Mutex<Vec<IdleConnection>>,
 }
 
-/// An unused connection, and since when it is unused (seconds on the steady clock).
+/// An idle connection, and since when it is idle (seconds on the steady clock).
 #[derive(Debug)]
 struct IdleConnection {
     stream: Stream,
@@ -27,7 +27,7 @@
 }
 
 impl IdleConnections {
-    /// None yet, and at most so many.
+    /// Creates an empty set that keeps at most this number of connections.
     pub(crate) fn new(max_connections: usize) -> Self {
         IdleConnections {
             max_connections,
@@ -35,7 +35,8 @@
         }
     }
 
-    /// A connection that is open as far as is known here, and was used lately.
+    /// Takes a connection that was used within [`limits::KEEP_ALIVE_S`] and is not known to be
+    /// closed.
     pub(crate) fn take(&self, now: f64) -> Option<Stream> {
         let mut connections = lock(&self.connections);
         while let Some(mut connection) = connections.pop() {
@@ -47,7 +48,7 @@
         None
     }
 
-    /// Keeps a connection on which a response has been read whole.
+    /// Keeps a connection on which a response has been read completely.
     pub(crate) fn keep(&self, stream: Stream, now: f64) {
         let mut connections = lock(&self.connections);
         if connections.len() < self.max_connections {
@@ -55,17 +56,18 @@
         }
     }
 
-    /// Closes all: where one connection is dead, the others may be as well.
+    /// Closes all connections: where one has failed, the others may have as well.
     pub(crate) fn close_all(&self) {
         lock(&self.connections).clear();
     }
 }
 
-/// Nothing has arrived on the connection: neither its end, nor bytes that no request asked for.
+/// Returns whether nothing has arrived on the connection: neither its end nor unrequested
+/// bytes.
 fn is_quiet(stream: &mut Stream) -> bool {
     let mut byte = [0];
     let mut buffer = ReadBuf::new(&mut byte);
-    // Whoever uses the connection registers a waker of its own.
+    // The next user of the connection registers its own waker.
     let mut context = Context::from_waker(Waker::noop());
     Pin::new(stream)
         .poll_read(&mut context, &mut buffer)
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,8 @@
-//! Network side of cherrywood: the runtime environment that a process runs in, a small
-//! HTTP/1.1 server and client, remote calls between controllers, rate limits and retries,
-//! and clients of the key-value store and the cloud.
+//! Networking of cherrywood: the runtime environment that a process runs in, an HTTP/1.1
+//! server and client, remote calls between controllers, rate limits and retries, and clients
+//! of the key-value store and the cloud.
 //!
-//! This package carries requests; it must never depend on what they decide.
+//! This package transports requests; it must never depend on the packages that make decisions.
 
 #![deny(missing_docs)]
 
@@ -24,8 +24,8 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex. What the mutexes of this package guard is consistent after every step, so
-/// a panic while one was held leaves it usable.
+/// Locks a mutex, even if it is poisoned. The data that the mutexes of this package guard is
+/// consistent after every step, so a panic while one was held leaves it usable.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/net/src/peer.rs
+++ b/crates/net/src/peer.rs
@@ -1,7 +1,7 @@
-//! Remote calls between controllers: `bitcode` frames, each behind its length in 4 bytes.
+//! Remote calls between controllers: `bitcode` frames, each preceded by its length in 4 bytes.
 //!
 //! A connection carries one request at a time; a request that times out closes its
-//! connection, so no reply can meet the wrong request.
+//! connection, so no reply can be taken for that of another request.
 
 use crate::idle_connections::IdleConnections;
 use crate::{Listener, NetError, Runtime, Stream};
@@ -31,7 +31,7 @@
     bitcode::decode(&body).map_err(|_| io::ErrorKind::InvalidData.into())
 }
 
-/// A client of another controller, with keep-alive connections.
+/// A client for remote calls to another controller, with keep-alive connections.
 #[derive(Debug)]
 pub struct PeerClient {
     /// Label of the other controller.
@@ -42,7 +42,7 @@
 }
 
 impl PeerClient {
-    /// A client without connections yet.
+    /// Creates a client without open connections.
     pub fn new(runtime: &Runtime, label: &str, address: SocketAddr) -> Self {
         PeerClient {
             label: label.to_string(),
@@ -61,8 +61,8 @@
     ///
     /// # Cancel safety
     ///
-    /// If it is dropped, the request may have been sent and may be executed. Its connection
-    /// is closed, so its reply can't meet another request.
+    /// If the future is dropped, the request may have been sent and may be executed. Its
+    /// connection is closed, so its reply can't be taken for that of another request.
     pub async fn ask(&self, request: &PeerRequest, timeout_s: f64) -> Result<PeerReply, NetError> {
         let call = async {
             let mut stream = match self.idle.take(self.runtime.now()) {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Answers other controllers' requests until its task is dropped, which ends neither the
+/// Serves other controllers' requests until its task is dropped, which ends neither the
 /// connections nor their handlers: each has a task of its own.
 pub async fn serve<H, F>(runtime: Runtime, mut listener: Listener, handler: Arc<H>)
 where
@@ -94,7 +94,7 @@
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of sockets: others must close first.
+            // No sockets are left until other connections close.
             runtime.sleep(limits::ACCEPT_RETRY_S).await;
             continue;
         };
--- a/crates/net/src/rate_limiter.rs
+++ b/crates/net/src/rate_limiter.rs
@@ -1,26 +1,28 @@
-//! A controller's share of a rate that all controllers divide among themselves.
+//! Rate limiter with priorities, for a controller's share of a rate that all controllers
+//! divide among themselves.
 
 use crate::lock;
 use cherrywood_limits as limits;
 use std::sync::{Mutex, MutexGuard};
 
-/// Priority of a request; lower ones leave more of the token bucket to higher ones.
+/// Priority of a request; lower priorities leave more of the token bucket to higher ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestPriority {
     /// Users' requests, final states and leadership.
     Critical,
-    /// Status queries of users: many share a read, and they are delayed before placements.
+    /// Status queries of users. Many of them share a read, and they are delayed before
+    /// placements are.
     Poll,
     /// Placements.
     Placement,
     /// Progress of jobs.
     Progress,
-    /// Snapshots, which only help a new leader.
+    /// Snapshots, which only speed up the recovery of a new leader.
     Snapshot,
 }
 
 impl RequestPriority {
-    /// Share of the bucket that such a request must leave for higher priorities.
+    /// Share of the bucket that a request of this priority must leave for higher ones.
     fn reserved_share(self) -> f64 {
         match self {
             RequestPriority::Critical => 0.0,
@@ -32,32 +34,33 @@
     }
 }
 
-/// Tokens within which a level counts as reached, against rounding.
+/// Tolerance in tokens when levels are compared, against rounding errors.
 const TOLERANCE: f64 = 1e-9;
 
-/// Shortest wait in seconds that is asked for.
+/// Minimum wait in seconds that a caller is given.
 const WAIT_MIN_S: f64 = 0.002;
 
-/// Rate below which waits are computed as if it were this.
+/// Lower bound of the rate, in tokens per second, that waits are computed with.
 const RATE_MIN: f64 = 0.001;
 
 #[derive(Debug)]
 struct TokenBucket {
-    /// Tokens per second, and the most that the bucket holds.
+    /// Tokens per second, and also the capacity of the bucket in tokens.
     rate: f64,
     level: f64,
     refilled_at: f64,
-    /// Tokens that a critical request waits for, and when it last asked for them.
+    /// Tokens that a critical request waits for.
     owed: f64,
+    /// When that request last asked for them.
     owed_since: f64,
 }
 
-/// A token bucket that holds one second's worth of its rate. It is locked for moments only.
+/// A token bucket that holds one second's worth of its rate. Its lock is held only briefly.
 #[derive(Debug)]
 pub struct RateLimiter(Mutex<TokenBucket>);
 
 impl RateLimiter {
-    /// A full bucket with a rate in tokens per second.
+    /// Creates a full bucket with a rate in tokens per second.
     pub fn new(rate: f64) -> Self {
         RateLimiter(Mutex::new(TokenBucket {
             rate,
@@ -73,7 +76,7 @@
         self.bucket().rate = rate;
     }
 
-    /// The rate in tokens per second.
+    /// Returns the rate in tokens per second.
     pub fn rate(&self) -> f64 {
         self.bucket().rate
     }
@@ -82,21 +85,21 @@
         lock(&self.0)
     }
 
-    /// Takes `tokens` now and returns None, or the seconds to wait before asking again.
+    /// Takes `tokens` and returns None, or returns the seconds to wait before the next attempt.
     /// `now` is in seconds on a steady clock.
     pub fn try_acquire(&self, priority: RequestPriority, tokens: f64, now: f64) -> Option<f64> {
         let mut bucket = self.bucket();
         bucket.refill(now);
         let critical = priority == RequestPriority::Critical;
         // While a critical request waits, the bucket fills for it: otherwise many small
-        // requests of lower priority would keep a larger critical one waiting for ever.
+        // requests of lower priority would starve a larger critical one.
         let owed = if critical || now - bucket.owed_since > limits::STORE_TIMEOUT_S {
             0.0
         } else {
             bucket.owed
         };
         let reserved = priority.reserved_share() * bucket.rate;
-        // A request larger than the bucket may pass when the bucket is full.
+        // A request for more tokens than the bucket holds may pass when the bucket is full.
         let needed = (tokens + reserved + owed).min(bucket.rate);
         let claimed = owed > 0.0 && bucket.level < owed + tokens;
         if bucket.level + TOLERANCE >= needed && !claimed {
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -1,46 +1,46 @@
-//! How failed requests are repeated: one policy with a budget for every client of the
-//! key-value store, the cloud and other controllers. Decisions only; the caller passes in
+//! Retries of failed requests: one policy with a budget for every client of the key-value
+//! store, the cloud and other controllers. This module only decides; the caller passes in
 //! random numbers and the time.
 //!
-//! Besides its own attempts each request spends from a budget that all requests of a
-//! client share and that only answers fill. While most are answered nearly everything may
-//! be repeated; while nothing is, repeating stops, so that repetitions add no load to a
-//! service that recovers.
+//! Apart from its own limit of attempts, each request spends from a budget that all requests
+//! of a client share and that only responses refill. While most requests get responses, nearly
+//! every failed one may be repeated; while none does, repetitions stop, so that they add no
+//! load to a service that recovers.
 
 use crate::lock;
 use cherrywood_limits as limits;
 use std::sync::Mutex;
 
-/// Doublings of the delay that are computed; the policy's maximum is reached before.
+/// Maximum number of doublings of the delay; the policy's maximum delay is reached before.
 const DOUBLINGS_MAX: u32 = 16;
 
-/// Smallest share of the nominal delay that is waited; a random number in [0, 1) is added to
-/// it.
+/// Minimum delay as a share of the nominal delay; a random number in [0, 1) is added to this
+/// share.
 const JITTER_MIN_SHARE: f64 = 0.5;
 
-/// How often and when a request is repeated, with exponential backoff.
+/// Exponential backoff: how often and when a request is repeated.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryPolicy {
-    /// Attempts in all, the first among them.
+    /// Maximum number of attempts, including the first.
     pub max_attempts: u32,
-    /// Nominal seconds before the second attempt; doubled for each further one.
+    /// Nominal delay in seconds before the second attempt; doubled for each further one.
     pub first_delay_s: f64,
-    /// Longest nominal delay in seconds.
+    /// Maximum nominal delay in seconds.
     pub max_delay_s: f64,
-    /// Seconds after the first attempt past which no other begins.
+    /// Seconds after the first attempt after which no further attempt begins.
     pub give_up_after_s: f64,
 }
 
 impl RetryPolicy {
-    /// Seconds to wait before repetition `n`, from 1 on; `random` in [0, 1) spreads them
-    /// by half to either side.
+    /// Returns the seconds to wait before repetition `n`, counted from 1. `random` in [0, 1)
+    /// spreads the nominal delay by half to either side.
     pub fn delay_s(&self, n: u32, random: f64) -> f64 {
         let doublings = n.saturating_sub(1).min(DOUBLINGS_MAX) as i32;
         let nominal_s = (self.first_delay_s * 2f64.powi(doublings)).min(self.max_delay_s);
         nominal_s * (JITTER_MIN_SHARE + random)
     }
 
-    /// Begins a request at `now`, in seconds on a steady clock.
+    /// Begins a request whose first attempt is made at `now`, in seconds on a steady clock.
     pub fn begin(self, now: f64) -> RetryState {
         RetryState {
             policy: self,
@@ -50,12 +50,12 @@
     }
 }
 
-/// Repetitions that a client's requests may still make.
+/// Number of repetitions that a client's requests may still make.
 #[derive(Debug)]
 pub struct RetryBudget(Mutex<f64>);
 
 impl Default for RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     fn default() -> Self {
         RetryBudget(Mutex::new(limits::RETRY_BUDGET_MAX))
     }
@@ -68,7 +68,7 @@
         *left = (*left + limits::RETRY_BUDGET_PER_ANSWER).min(limits::RETRY_BUDGET_MAX);
     }
 
-    /// Pays for a repetition, if there is enough for one.
+    /// Spends one repetition; returns false if the budget is too low for one.
     pub(crate) fn try_spend(&self) -> bool {
         let mut left = lock(&self.0);
         let enough = *left >= 1.0;
@@ -88,8 +88,8 @@
 }
 
 impl RetryState {
-    /// After a failed attempt: the seconds to wait before the next one, `retry_after_s` at
-    /// least if the other side asked for that; None if the request must be given up.
+    /// Returns the seconds to wait after a failed attempt before the next one, at least
+    /// `retry_after_s` if the server asked for that; None if the request must be given up.
     pub fn next_delay_s(
         &mut self,
         budget: &RetryBudget,
--- a/crates/net/src/runtime.rs
+++ b/crates/net/src/runtime.rs
@@ -1,9 +1,10 @@
 //! The runtime environment of a process: a steady clock, the time of day, random numbers,
 //! tasks and sockets.
 //!
-//! Everything in cherrywood that waits, draws or connects asks its [`Runtime`], so that the
-//! same program runs on a machine and in a simulation, where all of this is emulated. On a
-//! machine every call goes straight to tokio; nothing is boxed or counted there.
+//! All code in cherrywood that waits, draws random numbers or opens connections does so
+//! through its [`Runtime`], so that the same program runs on a machine and in a simulation,
+//! where all of this is emulated. On a machine every call goes straight to tokio, without
+//! boxing or accounting.
 
 use std::fmt;
 use std::future::{Future, poll_fn};
@@ -17,20 +18,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// A boxed future, as emulated runtimes take and return them.
+/// A boxed future, as taken and returned by emulated runtimes.
 pub type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// An emulated runtime environment; see the methods of [`Runtime`].
 pub trait EmulatedRuntime: Send + Sync {
-    /// Seconds on its steady clock, which may drift.
+    /// Returns the seconds on its steady clock, which may drift.
     fn now(&self) -> f64;
-    /// Time of day in milliseconds; may be off.
+    /// Returns the time of day in milliseconds, which may be wrong.
     fn wall_ms(&self) -> u64;
-    /// A random number, the same in every run of one seed.
+    /// Returns a random number; the sequence is determined by the seed of the run.
     fn random(&self) -> u64;
-    /// Ends after `s` seconds of its steady clock.
+    /// Waits `s` seconds of its steady clock.
     fn sleep(&self, s: f64) -> BoxFuture<()>;
-    /// Runs a task that is paused and ends with the emulated process.
+    /// Spawns a task that is paused and ended together with the emulated process.
     fn spawn(&self, task: BoxFuture<()>);
     /// Opens a connection.
     fn connect(&self, to: SocketAddr) -> BoxFuture<io::Result<Stream>>;
@@ -40,12 +41,12 @@
 
 #[derive(Clone)]
 enum Backend {
-    /// The machine; its steady clock counts from here.
+    /// The machine; its steady clock counts from this instant.
     Native(Instant),
     Emulated(Arc<dyn EmulatedRuntime>),
 }
 
-/// The runtime environment that a process finds around it. Clones are the same one.
+/// The runtime environment of a process. Clones refer to the same environment.
 #[derive(Clone)]
 pub struct Runtime(Backend);
 
@@ -58,26 +59,26 @@
     }
 }
 
-/// The time ran out before the work was complete.
+/// The timeout elapsed before the work was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// Bits of a random number that a number in [0, 1) holds.
+/// Number of random bits that an `f64` in [0, 1) holds.
 const UNIT_BITS: u32 = 53;
 
 impl Runtime {
-    /// The machine that this process runs on. Its asynchronous methods need a tokio
-    /// runtime.
+    /// Creates the environment of the machine that this process runs on. Its asynchronous
+    /// methods need a tokio runtime.
     pub fn native() -> Runtime {
         Runtime(Backend::Native(Instant::now()))
     }
 
-    /// An emulated one.
+    /// Creates an emulated environment.
     pub fn emulated(emulated: Arc<dyn EmulatedRuntime>) -> Runtime {
         Runtime(Backend::Emulated(emulated))
     }
 
-    /// Seconds on the steady clock, from some point in the past.
+    /// Returns the seconds on the steady clock, from some point in the past.
     pub fn now(&self) -> f64 {
         match &self.0 {
             Backend::Native(start) => start.elapsed().as_secs_f64(),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Time of day in milliseconds, within the platform's bound of the true time.
+    /// Returns the time of day in milliseconds, within the platform's bound of the true time.
     pub fn wall_ms(&self) -> u64 {
         match &self.0 {
             Backend::Native(_) => SystemTime::now()
@@ -95,7 +96,7 @@
         }
     }
 
-    /// A random number.
+    /// Returns a random number.
     pub fn random(&self) -> u64 {
         match &self.0 {
             Backend::Native(_) => rand::random(),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A random number drawn evenly from `min..max`.
+    /// Returns a random number, uniformly distributed over `min..max`.
     pub fn random_between(&self, min: f64, max: f64) -> f64 {
         let unit = (self.random() >> (u64::BITS - UNIT_BITS)) as f64 / (1u64 << UNIT_BITS) as f64;
         min + unit * (max - min)
@@ -117,12 +118,12 @@
         }
     }
 
-    /// The output of `work`, unless it takes longer than `s` seconds; then it is dropped.
-    /// As cancel safe as `work`.
+    /// Returns the output of `work`, unless it takes longer than `s` seconds; then `work` is
+    /// dropped. As cancel safe as `work`.
     ///
     /// # Errors
     ///
-    /// [`Elapsed`] if the time ran out.
+    /// [`Elapsed`] on timeout.
     pub async fn timeout<F: Future>(&self, s: f64, work: F) -> Result<F::Output, Elapsed> {
         let mut work = pin!(work);
         let mut deadline = pin!(self.sleep(s));
@@ -135,7 +136,7 @@
         .await
     }
 
-    /// Runs a task in the background.
+    /// Spawns a background task.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         match &self.0 {
             Backend::Native(_) => {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Opens a connection. Cancel safe: an unfinished one is given up.
+    /// Opens a connection. Cancel safe: an unfinished attempt is abandoned.
     ///
     /// # Errors
     ///
@@ -165,7 +166,7 @@
     ///
     /// # Errors
     ///
-    /// Those of the system, such as an address that is in use.
+    /// Those of the operating system, such as an address that is in use.
     pub async fn bind(&self, at: SocketAddr) -> io::Result<Listener> {
         match &self.0 {
             Backend::Native(_) => TcpListener::bind(at).await.map(Listener::Tcp),
@@ -184,9 +185,9 @@
 
 /// A connection.
 pub enum Stream {
-    /// Of the machine.
+    /// A TCP connection of the machine.
     Tcp(TcpStream),
-    /// Of a simulation.
+    /// An emulated connection of a simulation.
     Emulated(Box<dyn EmulatedConnection>),
 }
 
@@ -241,17 +242,17 @@
 
 /// Accepts emulated connections.
 pub trait EmulatedListener: Send {
-    /// The next connection, with the address it comes from.
+    /// Polls for the next connection, with the address it comes from.
     fn poll_accept(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<(Stream, SocketAddr)>>;
-    /// The address that it listens at.
+    /// Returns the address that it listens at.
     fn local_addr(&self) -> SocketAddr;
 }
 
 /// Accepts connections.
 pub enum Listener {
-    /// Of the machine.
+    /// A TCP listener of the machine.
     Tcp(TcpListener),
-    /// Of a simulation.
+    /// An emulated listener of a simulation.
     Emulated(Box<dyn EmulatedListener>),
 }
 
@@ -265,12 +266,12 @@
 }
 
 impl Listener {
-    /// The next connection, with the address it comes from. Cancel safe: no connection is
-    /// lost.
+    /// Accepts the next connection and returns it with the address it comes from. Cancel safe:
+    /// no connection is lost.
     ///
     /// # Errors
     ///
-    /// Those of the system, such as sockets that ran out; it may be called again.
+    /// Those of the operating system, such as running out of sockets; it may be called again.
     pub async fn accept(&mut self) -> io::Result<(Stream, SocketAddr)> {
         match self {
             Listener::Tcp(l) => {
@@ -282,11 +283,11 @@
         }
     }
 
-    /// The address that it listens at.
+    /// Returns the address that it listens at.
     ///
     /// # Errors
     ///
-    /// Those of the system.
+    /// Those of the operating system.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         match self {
             Listener::Tcp(l) => l.local_addr(),
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,5 +1,5 @@
-//! A small HTTP/1.1 server: keep-alive, no pipelining, bounded heads, bodies
-//! and connections.
+//! An HTTP/1.1 server with keep-alive connections, without pipelining, and with bounds on
+//! heads, bodies and connections.
 
 use crate::connection_pool::{ConnectionClass, ConnectionPool, PoolLimits, PooledConnection};
 use crate::runtime::Elapsed;
@@ -16,7 +16,7 @@
 pub struct Request {
     /// HTTP method.
     pub method: String,
-    /// Path and query, as they were sent.
+    /// Path and query as sent, still percent-encoded.
     pub path: String,
     /// The body, at most [`limits::BODY_BYTES_MAX`].
     pub body: Vec<u8>,
@@ -31,12 +31,12 @@
     pub body: Vec<u8>,
     /// Seconds that the client is asked to wait before it repeats the request.
     pub retry_after_s: Option<u64>,
-    /// Whether the connection is closed after it.
+    /// Whether the connection is closed after this response.
     pub close: bool,
 }
 
 impl Response {
-    /// A response with a body on a connection that stays open.
+    /// Creates a response with a body, on a connection that stays open.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Response {
             status,
@@ -46,12 +46,13 @@
         }
     }
 
-    /// A response without a body.
+    /// Creates a response without a body.
     pub fn empty(status: u16) -> Self {
         Self::new(status, Vec::new())
     }
 
-    /// The service can't serve the request now: the client is asked to repeat it later.
+    /// Creates the response of a service that can't serve the request now: the client is asked
+    /// to repeat it later.
     pub fn busy() -> Self {
         Response {
             retry_after_s: Some(limits::RETRY_AFTER_BUSY_S),
@@ -76,7 +77,7 @@
     }
 }
 
-/// Accepts connections for ever, at most `max_connections` at once. The handler gets each
+/// Accepts connections indefinitely, at most `max_connections` at once. The handler gets each
 /// request with the address that it comes from.
 pub async fn serve<H, F>(host: Runtime, listener: Listener, max_connections: usize, handler: Arc<H>)
 where
@@ -87,7 +88,8 @@
     serve_classes(host, listener, limits, |_| ConnectionClass::User, handler).await;
 }
 
-/// Like [`serve`], for connections of several classes; `classify` gives each request's class.
+/// Like [`serve`], for connections of several classes; `classify` returns each request's
+/// class.
 pub async fn serve_classes<H, F>(
     host: Runtime,
     listener: Listener,
@@ -102,7 +104,7 @@
     serve_pool(host, listener, pool, classify, handler).await;
 }
 
-/// Like [`serve_classes`], in a pool whose counts the caller can read.
+/// Like [`serve_classes`], with a pool that the caller provides and whose counts it can read.
 pub async fn serve_pool<H, F>(
     host: Runtime,
     mut listener: Listener,
@@ -234,8 +236,8 @@
     }
 }
 
-/// Waits for the first bytes of a request; false if there are none. If some have
-/// arrived already, they are read even when the connection is evicted.
+/// Waits for the first bytes of a request; returns false if the connection ends or is evicted
+/// without any. Bytes that have already arrived are read even if the connection is evicted.
 async fn fill_unless_evicted(
     stream: &mut Stream,
     buf: &mut Vec<u8>,
@@ -330,7 +332,7 @@
             parse(b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"),
             Parsed::TooLarge
         );
-        // A head that exceeds the limit is broken, not partial.
+        // A head that exceeds the limit is malformed, not partial.
         assert_eq!(
             parse(&vec![b'A'; limits::HEAD_BYTES_MAX + 1]),
             Parsed::Broken
--- a/crates/net/src/store_client/leases.rs
+++ b/crates/net/src/store_client/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: keys attached to one are removed when it ends.
+//! Leases: keys attached to a lease are removed when it ends.
 
 use super::{StoreClient, decode, unexpected};
 use crate::NetError;
@@ -10,7 +10,7 @@
     ///
     /// # Errors
     ///
-    /// As of [`StoreClient::get`].
+    /// Those of [`StoreClient::get`].
     pub async fn grant_lease(&self, ttl_s: f64) -> Result<u64, NetError> {
         let path = "/leases";
         let body = cherrywood_wire::encode(&LeaseRequest {
@@ -25,11 +25,11 @@
         }
     }
 
-    /// Renews a lease; false if it has ended.
+    /// Renews a lease; returns false if it has ended.
     ///
     /// # Errors
     ///
-    /// As of [`StoreClient::get`].
+    /// Those of [`StoreClient::get`].
     pub async fn renew_lease(&self, id: u64) -> Result<bool, NetError> {
         let path = format!("/leases/{id}/touch");
         let response = self
@@ -42,11 +42,11 @@
         }
     }
 
-    /// Ends a lease at once, whether or not it still exists.
+    /// Ends a lease at once; succeeds even if it no longer exists.
     ///
     /// # Errors
     ///
-    /// As of [`StoreClient::get`], but every status other than a refusal counts as success.
+    /// Those of [`StoreClient::get`], but every status other than a refusal counts as success.
     pub async fn revoke_lease(&self, id: u64) -> Result<(), NetError> {
         let path = format!("/leases/{id}");
         self.call(RequestPriority::Critical, "DELETE", &path, None)
--- a/crates/net/src/store_client/mod.rs
+++ b/crates/net/src/store_client/mod.rs
@@ -1,11 +1,13 @@
 //! Client of the key-value store.
 //!
-//! It keeps to this controller's share of the store's rates and knows the size limits that
-//! everything written must fit. Reads, transactions, leases and watches have a module each.
+//! The client keeps to this controller's share of the store's rate limits and knows the size
+//! limits that everything written must fit. Reads, transactions, leases and watches have a
+//! module each.
 //!
 //! Every request waits for its share of the rate, then for the response, each for at most
-//! [`limits::STORE_TIMEOUT_S`] (a watch also for its hold). If one is dropped meanwhile, it
-//! may have been sent and may be executed, even minutes later; its response is lost.
+//! [`limits::STORE_TIMEOUT_S`] (a watch also for its hold). If a call is dropped before it
+//! completes, its request may have been sent and may be executed, even minutes later; the
+//! response is lost.
 
 mod leases;
 mod reads;
@@ -32,21 +34,21 @@
 pub struct StoreClient {
     runtime: Runtime,
     http: HttpClient,
-    /// Watches are held, so they have connections of their own.
+    /// Watches are held by the store, so they have connections of their own.
     watch_http: HttpClient,
     read_rate: RateLimiter,
     write_rate: RateLimiter,
     limits: Mutex<StoreLimits>,
     controllers: f64,
-    /// Shared by all that repeat requests to the store.
+    /// Shared by all code that repeats requests to the store.
     pub retries: RetryBudget,
 }
 
 impl StoreClient {
-    /// A client for a store whose rates this number of controllers share. It begins with a
-    /// follower's share: when followers began with equal shares of the reads, these and the
-    /// leader's share added up to 1.35 times the rate, and the store refused the leader's
-    /// writes, too.
+    /// Creates a client for a store whose rate limits this number of controllers share. The
+    /// client begins with a follower's share: if followers began with equal shares of the reads,
+    /// these and the leader's share would add up to 1.35 times the rate, and the store would
+    /// refuse the leader's writes, too.
     pub fn new(
         runtime: &Runtime,
         address: SocketAddr,
@@ -68,19 +70,19 @@
         client
     }
 
-    /// The limits that everything written must fit.
+    /// Returns the limits that everything written must fit.
     pub fn limits(&self) -> StoreLimits {
         *lock(&self.limits)
     }
 
-    /// From now on values that don't fit one record may be split into chunks: every controller
-    /// understands them.
+    /// Allows values that don't fit one record to be split into chunks; called once every
+    /// controller understands them.
     pub fn enable_chunks(&self) {
         lock(&self.limits).enable_chunks();
     }
 
-    /// Takes a leader's or a follower's share of the rates. The leader does most of the
-    /// writing; the others divide the rest of the reads.
+    /// Sets the rates to a leader's or a follower's share. The leader does most of the writing;
+    /// the followers divide the rest of the reads.
     pub fn set_leading(&self, leading: bool) {
         let limits = self.limits();
         let alone = self.controllers <= 1.0;
@@ -90,8 +92,8 @@
             (false, false) => (1.0 - limits::LEADER_RATE_SHARE) / (self.controllers - 1.0),
         };
         self.read_rate.set_rate(limits.rps * read_share);
-        // Followers write seldom, and then a burst of submissions that should not wait:
-        // they keep an equal share of the writes, which they hardly use.
+        // Followers write seldom, and then in bursts of submissions that should not wait:
+        // they keep an equal share of the writes, most of which goes unused.
         let write_share = if leading {
             read_share
         } else {
@@ -100,7 +102,8 @@
         self.write_rate.set_rate(limits.write_rps * write_share);
     }
 
-    /// Waits for a share of a rate, unless that would take too long.
+    /// Waits until the rate allows `tokens`, unless that would take longer than
+    /// [`limits::STORE_TIMEOUT_S`].
     async fn acquire(
         &self,
         rate: &RateLimiter,
@@ -153,7 +156,7 @@
     cherrywood_wire::decode(body).map_err(|e| NetError::invalid(request, e))
 }
 
-/// The error for a status that the protocol does not give for `request`.
+/// Creates the error for a status that the protocol does not give for `request`.
 fn unexpected(request: &str, status: u16) -> NetError {
     NetError::UnexpectedStatus {
         request: request.to_string(),
--- a/crates/net/src/store_client/reads.rs
+++ b/crates/net/src/store_client/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of single keys and of keys by prefix.
+//! Reads of single keys and of all keys with a prefix.
 
 use super::{StoreClient, decode, unexpected};
 use crate::NetError;
@@ -9,7 +9,8 @@
 /// Keys in a page of [`StoreClient::list`].
 const LIST_PAGE_KEYS: usize = 500;
 
-/// A record that may be unreadable: one such must not hide the others of its page.
+/// A record that may be unreadable. One unreadable record must not hide the others of its
+/// page.
 #[derive(Debug, Clone, serde::Deserialize)]
 #[serde(untagged)]
 pub enum Readable<V> {
@@ -20,7 +21,8 @@
 }
 
 impl<V> Readable<V> {
-    /// The record; if it is unreadable, the log names its key, and it is left as it is.
+    /// Returns the record. An unreadable one is logged with its key and left unchanged in the
+    /// store.
     pub fn ok(self, key: &str) -> Option<V> {
         match self {
             Readable::Ok(v) => Some(v),
@@ -32,12 +34,13 @@
     }
 }
 
-/// What a prefix holds, read page by page: a change between two pages may show or not.
+/// The keys with a prefix, read page by page: a change between two pages may or may not be
+/// included.
 #[derive(Debug)]
 pub struct Listing<V> {
     /// The keys whose records can be read, in order.
     pub rows: Vec<KeyValue<V>>,
-    /// The other keys.
+    /// The keys whose records can't be read.
     pub unreadable_keys: Vec<String>,
     first_revision: Option<u64>,
     /// The store's revision at the last page.
@@ -45,7 +48,7 @@
 }
 
 impl<V> Listing<V> {
-    /// The store's revision at the first page: to watch on from.
+    /// Returns the store's revision at the first page, from which a watch can continue.
     pub fn first_revision(&self) -> u64 {
         self.first_revision.unwrap_or(self.last_revision)
     }
@@ -68,13 +71,13 @@
 }
 
 impl StoreClient {
-    /// The key's value; None if it does not exist.
+    /// Returns the key with its value; None if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`NetError::NotExecuted`] if the rate's share is used up or the store refuses,
-    /// [`NetError::OutcomeUnknown`] without a response, [`NetError::InvalidResponse`] or
-    /// [`NetError::UnexpectedStatus`] for one outside the protocol.
+    /// [`NetError::NotExecuted`] if the share of the rate is used up or the store refuses,
+    /// [`NetError::OutcomeUnknown`] if there is no response, [`NetError::InvalidResponse`] or
+    /// [`NetError::UnexpectedStatus`] if the response doesn't follow the protocol.
     pub async fn get<V: DeserializeOwned>(
         &self,
         key: &str,
@@ -82,11 +85,11 @@
         self.get_with_priority(key, RequestPriority::Critical).await
     }
 
-    /// The key's value, read with a priority of the caller's.
+    /// Like [`StoreClient::get`], with a priority that the caller chooses.
     ///
     /// # Errors
     ///
-    /// As of [`StoreClient::get`].
+    /// Those of [`StoreClient::get`].
     pub async fn get_with_priority<V: DeserializeOwned>(
         &self,
         key: &str,
@@ -101,11 +104,11 @@
         }
     }
 
-    /// All keys with a prefix.
+    /// Reads all keys with a prefix, page by page.
     ///
     /// # Errors
     ///
-    /// As of [`StoreClient::get`], if any page fails.
+    /// Those of [`StoreClient::get`], if any page fails.
     pub async fn list<V: DeserializeOwned>(&self, prefix: &str) -> Result<Listing<V>, NetError> {
         let mut listing = Listing {
             rows: Vec::new(),
@@ -127,11 +130,11 @@
         }
     }
 
-    /// At most `limit` keys with a prefix, those after the key `from`.
+    /// Reads a page of at most `limit` keys with a prefix, starting after the key `from`.
     ///
     /// # Errors
     ///
-    /// As of [`StoreClient::get`].
+    /// Those of [`StoreClient::get`].
     pub async fn list_page<V: DeserializeOwned>(
         &self,
         prefix: &str,
--- a/crates/net/src/store_client/tests.rs
+++ b/crates/net/src/store_client/tests.rs
@@ -1,10 +1,10 @@
-//! The shares of the store's rates that controllers take.
+//! Shares of the store's rate limits that controllers take.
 
 use super::*;
 use cherrywood_limits::store_limits::ConfiguredLimits;
 
-/// Once, followers that had never led had an equal share of the reads beside the leader's
-/// larger one, so that all shares together exceeded the rate.
+/// Guards against followers that have never led taking an equal share of the reads beside the
+/// leader's larger one, so that all shares together exceed the rate.
 #[test]
 fn all_reads_together_are_the_whole_and_a_burst_of_submissions_passes() {
     for controllers in [1, 3, 5] {
--- a/crates/net/src/store_client/transactions.rs
+++ b/crates/net/src/store_client/transactions.rs
@@ -6,7 +6,7 @@
 use cherrywood_wire::records::StoredRecord;
 use cherrywood_wire::store::{Change, Guard, Txn, TxnResponse};
 
-/// What became of a transaction that the store answered.
+/// The outcome of a transaction to which the store responded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnOutcome {
     /// All its changes were applied at this revision.
@@ -15,7 +15,7 @@
     Conflict(Vec<String>),
 }
 
-/// Names a transaction in errors: by the first key that it changes or compares.
+/// Names a transaction in errors, by the first key that it changes, or else compares.
 fn describe(txn: &Txn) -> String {
     let changed = txn.changes.first().map(|c| match c {
         Change::Put { key, .. } | Change::Delete { key } => key,
@@ -28,13 +28,13 @@
 }
 
 impl StoreClient {
-    /// Applies a transaction, if its guards hold.
+    /// Applies a transaction if its guards hold.
     ///
     /// # Errors
     ///
-    /// [`NetError::TooLarge`] if the store refuses it for its form, after which
-    /// [`StoreClient::limits`] are smaller; else as of [`StoreClient::get`]. After
-    /// [`NetError::OutcomeUnknown`] it may be applied, or be applied later.
+    /// [`NetError::TooLarge`] if the store refuses the transaction for its form, after which
+    /// [`StoreClient::limits`] are smaller; otherwise those of [`StoreClient::get`]. After
+    /// [`NetError::OutcomeUnknown`] the transaction may have been applied, or be applied later.
     pub async fn txn(&self, txn: &Txn, priority: RequestPriority) -> Result<TxnOutcome, NetError> {
         let request = describe(txn);
         let changes = txn.changes.len() as f64;
@@ -57,13 +57,13 @@
         }
     }
 
-    /// Those of the keys that exist, in one request that changes nothing: each is compared
-    /// with "does not exist". A key that is not among them may still have to be read by
-    /// itself.
+    /// Returns those of the keys that exist, with one transaction that changes nothing: each
+    /// key has the guard "does not exist". A key that is not returned may still have to be read
+    /// by itself.
     ///
     /// # Errors
     ///
-    /// As of [`StoreClient::txn`].
+    /// Those of [`StoreClient::txn`].
     pub async fn existing_keys(
         &self,
         keys: impl Iterator<Item = String>,
@@ -87,7 +87,8 @@
         }
     }
 
-    /// The store refused a transaction for its form, so none of this size is sent again.
+    /// Lowers the limits after the store has refused a transaction for its form, so that none
+    /// of this size is sent again.
     fn shrink_limits(&self, request: String) -> NetError {
         let mut limits = lock(&self.limits);
         let lowered = limits.shrink();
--- a/crates/net/src/store_client/watch.rs
+++ b/crates/net/src/store_client/watch.rs
@@ -1,4 +1,4 @@
-//! Watches for changes of keys by prefix.
+//! Watches for changes of the keys with a prefix.
 
 use super::{StoreClient, decode};
 use crate::rate_limiter::RequestPriority;
@@ -8,13 +8,13 @@
 use serde::de::DeserializeOwned;
 
 impl StoreClient {
-    /// All changes of keys with a prefix after the revision `from`, up to some moment after
-    /// the request was sent; None if the store no longer has changes that old. Without
-    /// changes the response comes after [`limits::VIEW_WATCH_HOLD_S`].
+    /// Returns all changes of keys with a prefix after the revision `from`, up to some moment
+    /// after the request was sent; None if the store no longer has changes that old. If nothing
+    /// changes, the response comes after [`limits::VIEW_WATCH_HOLD_S`].
     ///
     /// # Errors
     ///
-    /// As of [`StoreClient::get`], but every unexpected status is
+    /// Those of [`StoreClient::get`], but every unexpected status is
     /// [`NetError::NotExecuted`].
     pub async fn watch<V: DeserializeOwned>(
         &self,
--- a/crates/net/tests/cloud.rs
+++ b/crates/net/tests/cloud.rs
@@ -1,4 +1,4 @@
-//! What the cloud's responses are taken for.
+//! Interpretation of the cloud's responses.
 
 mod common;
 
@@ -16,7 +16,8 @@
     SocketAddr::from(([10, 2, 0, 2], 8443))
 }
 
-/// A cloud that sends these bytes as its response to one request.
+/// Starts a cloud that sends these bytes as its response to one request; returns a client of
+/// it.
 fn cloud_responding(host: &Runtime, response: &'static [u8]) -> CloudClient {
     let listener = host.clone();
     tokio::spawn(async move {
@@ -30,7 +31,7 @@
     CloudClient::new(host, cloud_address(), REQUESTS_PER_S)
 }
 
-/// What becomes of a deletion to which the cloud responds so.
+/// Returns the result of a deletion to which the cloud responds with these bytes.
 fn deletion_result(response: &'static [u8]) -> Result<(), NetError> {
     let (sender, receiver) = std::sync::mpsc::channel();
     run(|host| async move {
--- a/crates/net/tests/common/mod.rs
+++ b/crates/net/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A network in memory and a clock that moves by itself.
+//! An in-memory network on tokio's paused clock, which advances automatically.
 
 use cherrywood_net::runtime::{
     BoxFuture, EmulatedListener, EmulatedRuntime, Listener, Runtime, Stream,
@@ -14,13 +14,13 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
-/// How long a connection takes to be established.
+/// Time that it takes to establish a connection.
 pub const CONNECT: Duration = Duration::from_millis(1);
 const STREAM_BYTES: usize = 4096;
 
 type Incoming = (Stream, SocketAddr);
 
-/// A network in memory, on the runtime's clock.
+/// An in-memory network on tokio's clock.
 struct Network {
     started: Instant,
     rng: Mutex<Pcg64>,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Runs in virtual time.
+/// Runs a test in virtual time.
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Runtime) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
--- a/crates/net/tests/connection_pool/main.rs
+++ b/crates/net/tests/connection_pool/main.rs
@@ -1,4 +1,4 @@
-//! What becomes of connections at a server's limit.
+//! Eviction, refusal and closing of connections at a server's connection limit.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -53,14 +53,15 @@
     stream
 }
 
-/// Is the other end closed, a little later?
+/// Returns whether the server closes the connection within 10 ms.
 async fn is_closed(stream: &mut Stream) -> bool {
     let mut byte = [0];
     let read = tokio::time::timeout(Duration::from_millis(10), stream.read(&mut byte)).await;
     matches!(read, Ok(Ok(0) | Err(_)))
 }
 
-/// Serves controller 0; requests for `/hang` are answered when they are let go.
+/// Serves controller 0; requests for `/hang` get their responses when the returned handle is
+/// notified.
 fn serve(host: &Runtime, limits: PoolLimits) -> Arc<Notify> {
     let listener = host.clone();
     let let_go = Arc::new(Notify::new());
@@ -211,7 +212,7 @@
     });
 }
 
-/// A request that has arrived before its connection was evicted is answered.
+/// A request that arrived before its connection was evicted gets a response.
 #[test]
 fn a_request_that_crosses_an_eviction_is_answered_and_ends_the_connection() {
     run(|host| async move {
@@ -227,7 +228,7 @@
     });
 }
 
-// --- the pool by itself ---
+// --- the pool without a server ---
 
 fn idle_connection(pool: &Arc<ConnectionPool>, class: ConnectionClass) -> PooledConnection {
     let mut connection = pool.admit().expect("a place");
@@ -272,7 +273,7 @@
     assert_eq!(PoolLimits::for_sockets(0).max_connections, 16);
 }
 
-// --- 4,000 machines ---
+// --- load of 4,000 workers ---
 
 fn assert_all_heard_within_their_lease(seen: &Seen) {
     assert_eq!(seen.longest_gap_s.len(), WORKERS);
@@ -336,15 +337,15 @@
     assert_all_heard_within_their_lease(&slowly_answered_users_beside_4000_workers());
 }
 
-/// As users took the half of the pool that they may, idle connections of workers were evicted,
-/// and their next heartbeats found them closed.
+/// Guards against users that take the half of the pool that they may, so that idle connections
+/// of workers are evicted and their next heartbeats find the connections closed.
 #[test]
 fn under_one_heartbeat_in_a_hundred_fails_beside_users_that_are_answered_slowly() {
     let seen = slowly_answered_users_beside_4000_workers();
     assert_under_one_heartbeat_in_a_hundred_fails(&seen);
 }
 
-/// Users that came in waves took the places of idle workers' connections.
+/// Guards against users that arrive in waves and take the slots of workers' idle connections.
 fn assert_waves_of_users_evict_few_workers(sockets: usize) {
     let crowd = Crowd {
         sockets,
@@ -373,7 +374,7 @@
     assert_waves_of_users_evict_few_workers(2265);
 }
 
-/// New connections take long to ask, and hold their places meanwhile.
+/// New connections take long to send their first request, and hold their slots until then.
 #[test]
 fn under_one_heartbeat_in_a_hundred_fails_on_a_slow_network() {
     let crowd = Crowd {
@@ -388,7 +389,7 @@
     assert_under_one_heartbeat_in_a_hundred_fails(&seen);
 }
 
-/// As after a failover, when all workers have just found a new controller.
+/// The situation after a failover, when all workers have just found a new controller.
 #[test]
 fn under_one_heartbeat_in_a_hundred_fails_when_all_workers_begin_at_once() {
     let crowd = Crowd {
--- a/crates/net/tests/hedge.rs
+++ b/crates/net/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! Requests that are sent again while they have no response.
+//! Hedged requests: repetition while there is no response, and its budget.
 
 mod common;
 
@@ -20,7 +20,8 @@
 /// How long a request with an answer takes.
 const ANSWER: Duration = Duration::from_millis(10);
 
-/// Sends a request whose n-th attempt behaves as `attempt` says; the result, and the attempts.
+/// Sends a hedged request whose n-th attempt is `attempt(n)`; returns the result and the number
+/// of attempts.
 async fn send<F>(
     host: &cherrywood_net::Runtime,
     budget: &RetryBudget,
@@ -75,7 +76,7 @@
     });
 }
 
-/// Repetitions must add no load to a service that answers nobody.
+/// Guards against repetitions that add load to a service that responds to nobody.
 #[test]
 fn a_service_that_answers_nobody_gets_no_more_than_the_budget() {
     run(|host| async move {
--- a/crates/net/tests/rate_limiter.rs
+++ b/crates/net/tests/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! What requests of one priority leave to those of another.
+//! Division of a rate among requests of different priorities.
 
 use cherrywood_net::rate_limiter::{RateLimiter, RequestPriority};
 
@@ -41,7 +41,7 @@
     );
 }
 
-/// A flood of polls leaves room for a submission at any moment.
+/// A flood of status queries leaves enough tokens for a submission at any moment.
 #[test]
 fn polls_are_the_first_to_be_delayed() {
     let limiter = RateLimiter::new(20.0);
@@ -58,8 +58,8 @@
     }
 }
 
-/// Final states of many jobs once waited while ledger rounds took every change as it came:
-/// jobs were done, and nobody was told.
+/// Guards against starvation of a write of many final states by placement writes that take
+/// each token as it is earned: the jobs would be done without their users learning of it.
 #[test]
 fn a_large_critical_request_is_not_starved_by_small_ones_of_lower_priority() {
     let limiter = RateLimiter::new(33.0);
@@ -77,7 +77,7 @@
         }
     }
     assert!(acquired_at.is_some_and(|t| t < 1.2), "{acquired_at:?}");
-    // Nobody waits any more: requests of lower priority go on.
+    // No critical request waits any more, so requests of lower priority proceed.
     let wait = limiter.try_acquire(RequestPriority::Placement, 2.0, 10.0);
     assert_eq!(wait, None);
 }
--- a/crates/net/tests/retry.rs
+++ b/crates/net/tests/retry.rs
@@ -1,4 +1,4 @@
-//! How often failed requests are repeated, and when.
+//! Number and delays of the repetitions of failed requests.
 
 use cherrywood_net::retry::{RetryBudget, RetryPolicy};
 use rand::{Rng, SeedableRng};
@@ -18,7 +18,7 @@
     given_up: u32,
 }
 
-/// Sends so many requests, of whose attempts this share fails.
+/// Sends this number of requests, of whose attempts the given share fails.
 fn send_requests(requests: u32, failing_share: f64) -> Totals {
     let budget = RetryBudget::default();
     let mut rng = Pcg64::seed_from_u64(3);
@@ -84,7 +84,7 @@
         request.next_delay_s(&budget, Some(1.0), 0.5, 10.0),
         Some(1.0)
     );
-    // An attempt that would begin after the deadline isn't made, and costs nothing.
+    // An attempt that would begin after the deadline isn't made and spends no budget.
     assert_eq!(request.next_delay_s(&budget, Some(1.5), 0.5, 11.0), None);
     assert!(request.next_delay_s(&budget, None, 0.5, 11.0).is_some());
     let mut request = POLICY.begin(0.0);
