--- a/crates/net/src/connection_pool.rs
+++ b/crates/net/src/connection_pool.rs
@@ -112,9 +112,9 @@
     pub evicted_workers: u64,
     /// Connections evicted before their first request.
     pub evicted_unused: u64,
-    /// Requests answered whose connections had been evicted as they arrived.
-    pub answered_after_eviction: u64,
-    /// Users' requests refused since as many were handled as may be.
+    /// Requests served whose connections had been evicted as they arrived.
+    pub served_after_eviction: u64,
+    /// Users' requests refused because `max_active_users` were being handled.
     pub refused_users: u64,
     /// Users' connections closed with a response to make room.
     pub closed_users: u64,
@@ -283,7 +283,7 @@
         self.class = class;
         self.unused = false;
         if matches!(self.phase, Phase::Evicted) {
-            self.pool.state().counts.answered_after_eviction += 1;
+            self.pool.state().counts.served_after_eviction += 1;
         }
         if class == ConnectionClass::User {
             let mut state = self.pool.state();
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -62,8 +62,8 @@
 }
 
 impl RetryBudget {
-    /// Earns for a request that was answered.
-    pub fn record_answer(&self) {
+    /// Refills the budget for a request that got a response.
+    pub fn record_response(&self) {
         let mut left = lock(&self.0);
         *left = (*left + limits::RETRY_BUDGET_PER_ANSWER).min(limits::RETRY_BUDGET_MAX);
     }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -61,7 +61,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -79,19 +79,30 @@
 
 /// Accepts connections indefinitely, at most `max_connections` at once. The handler gets each
 /// request with the address that it comes from.
-pub async fn serve<H, F>(host: Runtime, listener: Listener, max_connections: usize, handler: Arc<H>)
-where
+pub async fn serve<H, F>(
+    runtime: Runtime,
+    listener: Listener,
+    max_connections: usize,
+    handler: Arc<H>,
+) where
     H: Fn(Request, SocketAddr) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     let limits = PoolLimits::uniform(max_connections);
-    serve_classes(host, listener, limits, |_| ConnectionClass::User, handler).await;
+    serve_classes(
+        runtime,
+        listener,
+        limits,
+        |_| ConnectionClass::User,
+        handler,
+    )
+    .await;
 }
 
 /// Like [`serve`], for connections of several classes; `classify` returns each request's
 /// class.
 pub async fn serve_classes<H, F>(
-    host: Runtime,
+    runtime: Runtime,
     listener: Listener,
     limits: PoolLimits,
     classify: fn(&Request) -> ConnectionClass,
@@ -101,12 +112,12 @@
     F: Future<Output = Response> + Send + 'static,
 {
     let pool = ConnectionPool::new(limits);
-    serve_pool(host, listener, pool, classify, handler).await;
+    serve_pool(runtime, listener, pool, classify, handler).await;
 }
 
 /// Like [`serve_classes`], with a pool that the caller provides and whose counts it can read.
 pub async fn serve_pool<H, F>(
-    host: Runtime,
+    runtime: Runtime,
     mut listener: Listener,
     pool: Arc<ConnectionPool>,
     classify: fn(&Request) -> ConnectionClass,
@@ -117,18 +128,18 @@
 {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            // Out of sockets: others must close first.
-            host.sleep(limits::ACCEPT_RETRY_S).await;
+            // No sockets are left until other connections close.
+            runtime.sleep(limits::ACCEPT_RETRY_S).await;
             continue;
         };
-        let Some(place) = pool.admit() else {
+        let Some(connection) = pool.admit() else {
             drop(stream);
             continue;
         };
-        let (own, handler) = (host.clone(), handler.clone());
-        host.spawn(async move {
+        let (connection_runtime, handler) = (runtime.clone(), handler.clone());
+        runtime.spawn(async move {
             let handler = |request| handler(request, from);
-            connection(&own, stream, place, classify, handler).await;
+            serve_connection(&connection_runtime, stream, connection, classify, handler).await;
         });
     }
 }
@@ -138,99 +149,107 @@
 enum Parsed {
     /// The head is not complete.
     Partial,
-    /// Not HTTP, or a form this server does not take.
-    Broken,
+    /// Not HTTP, or a form of it that this server does not accept.
+    Malformed,
     TooLarge,
     Head {
         method: String,
         path: String,
-        head: usize,
-        body: usize,
+        /// Bytes of the head itself.
+        head_bytes: usize,
+        body_bytes: usize,
         close: bool,
     },
 }
 
-fn parse(buf: &[u8]) -> Parsed {
+fn parse(buffer: &[u8]) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut req = httparse::Request::new(&mut headers);
-    let head = match req.parse(buf) {
+    let head_bytes = match req.parse(buffer) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if buf.len() > limits::HEAD_BYTES_MAX => {
-            return Parsed::Broken;
+        Ok(httparse::Status::Partial) if buffer.len() > limits::HEAD_BYTES_MAX => {
+            return Parsed::Malformed;
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Broken,
+        Err(_) => return Parsed::Malformed,
     };
-    let (mut body, mut seen, mut close) = (0usize, false, req.version == Some(0));
-    for h in req.headers.iter() {
-        let text = std::str::from_utf8(h.value).unwrap_or("").trim();
-        if h.name.eq_ignore_ascii_case("content-length") {
+    let (mut body_bytes, mut has_length) = (0usize, false);
+    let mut close = req.version == Some(0);
+    for header in req.headers.iter() {
+        let text = std::str::from_utf8(header.value).unwrap_or("").trim();
+        if header.name.eq_ignore_ascii_case("content-length") {
             match text.parse() {
-                Ok(n) if !seen && text.bytes().all(|b| b.is_ascii_digit()) => body = n,
-                _ => return Parsed::Broken,
+                Ok(n) if !has_length && text.bytes().all(|b| b.is_ascii_digit()) => body_bytes = n,
+                _ => return Parsed::Malformed,
             }
-            seen = true;
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Parsed::Broken;
-        } else if h.name.eq_ignore_ascii_case("connection") {
+            has_length = true;
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            return Parsed::Malformed;
+        } else if header.name.eq_ignore_ascii_case("connection") {
             close |= text.eq_ignore_ascii_case("close");
         }
     }
-    if body > limits::BODY_BYTES_MAX {
+    if body_bytes > limits::BODY_BYTES_MAX {
         return Parsed::TooLarge;
     }
     let (Some(method), Some(path)) = (req.method, req.path) else {
-        return Parsed::Broken;
+        return Parsed::Malformed;
     };
     Parsed::Head {
         method: method.into(),
         path: path.into(),
-        head,
-        body,
+        head_bytes,
+        body_bytes,
         close,
     }
 }
 
-async fn connection<H, F>(
-    host: &Runtime,
+async fn serve_connection<H, F>(
+    runtime: &Runtime,
     mut stream: Stream,
-    mut place: PooledConnection,
+    mut connection: PooledConnection,
     classify: fn(&Request) -> ConnectionClass,
     handler: H,
 ) where
     H: Fn(Request) -> F,
     F: Future<Output = Response>,
 {
-    let mut buf: Vec<u8> = Vec::with_capacity(1024);
+    let mut buffer: Vec<u8> = Vec::with_capacity(1024);
     loop {
-        let evicted = place.set_idle();
-        let read = fill_unless_evicted(&mut stream, &mut buf, evicted);
-        let read = host.timeout(limits::IDLE_CONNECTION_TIMEOUT_S, read).await;
+        let evicted = connection.set_idle();
+        let read = fill_unless_evicted(&mut stream, &mut buffer, evicted);
+        let read = runtime
+            .timeout(limits::IDLE_CONNECTION_TIMEOUT_S, read)
+            .await;
         match read {
             Ok(true) => {}
             Ok(false) => return,
             Err(Elapsed) => {
-                place.record_idle_timeout();
+                connection.record_idle_timeout();
                 return;
             }
         }
-        place.set_active();
-        let got = host
-            .timeout(limits::REQUEST_TIMEOUT_S, request(&mut stream, &mut buf))
+        connection.set_active();
+        let received = runtime
+            .timeout(
+                limits::REQUEST_TIMEOUT_S,
+                read_request(&mut stream, &mut buffer),
+            )
             .await;
-        let (answer, close) = match got {
-            Ok(Ok((req, close))) => {
-                let answer = match place.begin_request(classify(&req)) {
-                    true => handler(req).await,
+        let (response, close) = match received {
+            Ok(Ok((request, close))) => {
+                let response = match connection.begin_request(classify(&request)) {
+                    true => handler(request).await,
                     false => Response::busy(),
                 };
-                let close = close || answer.close || !place.keep_alive();
-                (answer, close)
+                let close = close || response.close || !connection.keep_alive();
+                (response, close)
             }
             Ok(Err(Some(status))) => (Response::empty(status), true),
             _ => return,
         };
-        if write(host, &mut stream, &answer, close).await.is_err() || close {
+        let written = write_response(runtime, &mut stream, &response, close).await;
+        if written.is_err() || close {
             return;
         }
     }
@@ -240,76 +259,81 @@
 /// without any. Bytes that have already arrived are read even if the connection is evicted.
 async fn fill_unless_evicted(
     stream: &mut Stream,
-    buf: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
     evicted: oneshot::Receiver<()>,
 ) -> bool {
     tokio::select! {
         biased;
-        filled = fill(stream, buf) => filled,
+        filled = fill(stream, buffer) => filled,
         _ = evicted => false,
     }
 }
 
-/// Reads at least one byte unless some are there already.
-async fn fill(stream: &mut Stream, buf: &mut Vec<u8>) -> bool {
-    !buf.is_empty() || matches!(stream.read_buf(buf).await, Ok(n) if n > 0)
+/// Reads at least one byte unless the buffer already holds some; returns false if the
+/// connection ends.
+async fn fill(stream: &mut Stream, buffer: &mut Vec<u8>) -> bool {
+    !buffer.is_empty() || matches!(stream.read_buf(buffer).await, Ok(n) if n > 0)
 }
 
-/// Reads one whole request, and whether the client closes the connection after it. The error
-/// is the status to refuse it with; None if the connection ended.
-async fn request(stream: &mut Stream, buf: &mut Vec<u8>) -> Result<(Request, bool), Option<u16>> {
+/// Reads one complete request, and whether the client closes the connection after it. The
+/// error is the status to refuse the request with; None if the connection ended.
+async fn read_request(
+    stream: &mut Stream,
+    buffer: &mut Vec<u8>,
+) -> Result<(Request, bool), Option<u16>> {
     loop {
-        match parse(buf) {
-            Parsed::Broken => return Err(Some(400)),
+        match parse(buffer) {
+            Parsed::Malformed => return Err(Some(400)),
             Parsed::TooLarge => return Err(Some(413)),
             Parsed::Partial => {}
             Parsed::Head {
                 method,
                 path,
-                head,
-                body,
+                head_bytes,
+                body_bytes,
                 close,
             } => {
-                if buf.len() >= head + body {
-                    let rest = buf.split_off(head + body);
-                    let body = buf.split_off(head);
-                    *buf = rest;
+                if buffer.len() >= head_bytes + body_bytes {
+                    let rest = buffer.split_off(head_bytes + body_bytes);
+                    let body = buffer.split_off(head_bytes);
+                    *buffer = rest;
                     return Ok((Request { method, path, body }, close));
                 }
             }
         }
-        match stream.read_buf(buf).await {
+        match stream.read_buf(buffer).await {
             Ok(n) if n > 0 => {}
             _ => return Err(None),
         }
     }
 }
 
-async fn write(
-    host: &Runtime,
+async fn write_response(
+    runtime: &Runtime,
     stream: &mut Stream,
-    answer: &Response,
+    response: &Response,
     close: bool,
 ) -> std::io::Result<()> {
-    let mut out = format!(
+    let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Length: {}\r\n",
-        answer.status,
-        reason(answer.status),
-        answer.body.len()
+        response.status,
+        reason_phrase(response.status),
+        response.body.len()
     );
-    if !answer.body.is_empty() {
-        out.push_str("Content-Type: application/msgpack\r\n");
+    if !response.body.is_empty() {
+        head.push_str("Content-Type: application/msgpack\r\n");
     }
-    if let Some(s) = answer.retry_after_s {
-        out.push_str(&format!("Retry-After: {s}\r\n"));
+    if let Some(s) = response.retry_after_s {
+        head.push_str(&format!("Retry-After: {s}\r\n"));
     }
     if close {
-        out.push_str("Connection: close\r\n");
+        head.push_str("Connection: close\r\n");
     }
-    out.push_str("\r\n");
-    let mut bytes = out.into_bytes();
-    bytes.extend_from_slice(&answer.body);
-    host.timeout(limits::REQUEST_TIMEOUT_S, stream.write_all(&bytes))
+    head.push_str("\r\n");
+    let mut bytes = head.into_bytes();
+    bytes.extend_from_slice(&response.body);
+    runtime
+        .timeout(limits::REQUEST_TIMEOUT_S, stream.write_all(&bytes))
         .await
         .unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
 }
@@ -319,14 +343,14 @@
     use super::*;
 
     #[test]
-    fn broken_and_oversized_requests_are_told_apart() {
+    fn malformed_and_oversized_requests_are_distinguished() {
         assert_eq!(parse(b"GET / HTTP/1.1\r\nHo"), Parsed::Partial);
-        assert_eq!(parse(b"\x00\x01\x02 nonsense\r\n\r\n"), Parsed::Broken);
+        assert_eq!(parse(b"\x00\x01\x02 nonsense\r\n\r\n"), Parsed::Malformed);
         let chunked = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
-        assert_eq!(parse(chunked), Parsed::Broken);
+        assert_eq!(parse(chunked), Parsed::Malformed);
         assert_eq!(
             parse(b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"),
-            Parsed::Broken
+            Parsed::Malformed
         );
         assert_eq!(
             parse(b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"),
@@ -335,13 +359,13 @@
         // A head that exceeds the limit is malformed, not partial.
         assert_eq!(
             parse(&vec![b'A'; limits::HEAD_BYTES_MAX + 1]),
-            Parsed::Broken
+            Parsed::Malformed
         );
         let ok = parse(b"POST /x HTTP/1.1\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc");
         assert!(matches!(
             ok,
             Parsed::Head {
-                body: 3,
+                body_bytes: 3,
                 close: true,
                 ..
             }
--- a/crates/net/src/store_client/mod.rs
+++ b/crates/net/src/store_client/mod.rs
@@ -144,7 +144,7 @@
                 Err(NetError::not_executed(&format!("{method} {path}"), cause))
             }
             _ => {
-                self.retries.record_answer();
+                self.retries.record_response();
                 Ok(response)
             }
         }
--- a/crates/net/src/store_client/tests.rs
+++ b/crates/net/src/store_client/tests.rs
@@ -6,7 +6,7 @@
 /// Guards against followers that have never led taking an equal share of the reads beside the
 /// leader's larger one, so that all shares together exceed the rate.
 #[test]
-fn all_reads_together_are_the_whole_and_a_burst_of_submissions_passes() {
+fn read_shares_add_up_to_the_rate_and_followers_keep_equal_write_shares() {
     for controllers in [1, 3, 5] {
         let address = ([127, 0, 0, 1], 9).into();
         let configured = ConfiguredLimits {
--- a/crates/net/tests/cloud.rs
+++ b/crates/net/tests/cloud.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_response_whose_status_is_unknown_proves_no_deletion() {
+fn a_response_that_is_not_acceptable_http_proves_no_deletion() {
     for response in [
         &b"no HTTP at all\r\n\r\n"[..],
         &b"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"[..],
--- a/crates/net/tests/common/mod.rs
+++ b/crates/net/tests/common/mod.rs
@@ -28,7 +28,7 @@
 }
 
 impl Network {
-    fn host() -> Runtime {
+    fn runtime() -> Runtime {
         Runtime::emulated(Arc::new(Network {
             started: Instant::now(),
             rng: Mutex::new(Pcg64::seed_from_u64(43)),
@@ -95,5 +95,5 @@
         .start_paused(true)
         .build()
         .unwrap();
-    runtime.block_on(async { test(Network::host()).await });
+    runtime.block_on(async { test(Network::runtime()).await });
 }
--- a/crates/net/tests/hedge.rs
+++ b/crates/net/tests/hedge.rs
@@ -17,8 +17,8 @@
     timeout_s: 1.0,
 };
 
-/// How long a request with an answer takes.
-const ANSWER: Duration = Duration::from_millis(10);
+/// Time until a request gets its response.
+const RESPONSE_TIME: Duration = Duration::from_millis(10);
 
 /// Sends a hedged request whose n-th attempt is `attempt(n)`; returns the result and the number
 /// of attempts.
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn the_first_response_counts_whichever_request_it_is_for() {
+fn the_first_response_is_taken_whichever_request_it_is_for() {
     run(|host| async move {
         let budget = RetryBudget::default();
         let (result, attempts) = send(&host, &budget, |attempt| async move {
             if attempt < 3 {
                 std::future::pending::<()>().await;
             }
-            sleep(ANSWER).await;
+            sleep(RESPONSE_TIME).await;
             Ok(attempt)
         })
         .await;
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_request_that_is_answered_soon_or_refused_is_sent_once() {
+fn a_request_with_an_early_response_or_an_error_is_sent_once() {
     run(|host| async move {
         let budget = RetryBudget::default();
-        let answered = send(&host, &budget, |attempt| async move {
-            sleep(ANSWER).await;
+        let responded = send(&host, &budget, |attempt| async move {
+            sleep(RESPONSE_TIME).await;
             Ok(attempt)
         });
-        assert_eq!(answered.await, (Ok(1), 1));
+        assert_eq!(responded.await, (Ok(1), 1));
         let failed = send(&host, &budget, |_| async { Err(refused()) });
         assert_eq!(failed.await, (Err(refused()), 1));
     });
@@ -78,14 +78,14 @@
 
 /// Guards against repetitions that add load to a service that responds to nobody.
 #[test]
-fn a_service_that_answers_nobody_gets_no_more_than_the_budget() {
+fn repetitions_to_a_service_that_never_responds_stay_within_the_budget() {
     run(|host| async move {
         let budget = RetryBudget::default();
         let mut attempts = 0;
         let requests = 100;
         for _ in 0..requests {
-            let silent = send(&host, &budget, |_| std::future::pending());
-            let (result, sent) = silent.await;
+            let unanswered = send(&host, &budget, |_| std::future::pending());
+            let (result, sent) = unanswered.await;
             assert!(result.is_err());
             attempts += sent;
         }
--- a/crates/net/tests/kept_connections.rs
+++ b/crates/net/tests/idle_connections.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests on kept connections that the other end closes.
+//! Requests on keep-alive connections that the server closes.
 
 mod common;
 
@@ -17,11 +17,11 @@
 
 const TIMEOUT_S: f64 = 1.0;
 
-/// Longer than any server keeps an idle connection.
+/// Seconds longer than any server keeps an idle connection.
 const IDLE_FOR_S: usize = 90;
 
-/// How long a peer takes to answer, so that two requests need two connections.
-const PEER_ANSWER: Duration = Duration::from_millis(20);
+/// Time that a peer takes to reply, so that two concurrent requests need two connections.
+const PEER_REPLY_TIME: Duration = Duration::from_millis(20);
 
 fn server_address() -> SocketAddr {
     SocketAddr::from(([10, 3, 0, 2], 8443))
@@ -32,7 +32,7 @@
     matches!(stream.read(&mut request).await, Ok(read) if read > 0)
 }
 
-/// Counts the requests that arrive.
+/// Serves HTTP connections with `on_connection`; returns the counter of requests received.
 fn serve_http<F>(
     host: &Runtime,
     on_connection: impl Fn(Stream, Arc<AtomicUsize>) -> F + Send + 'static,
@@ -52,8 +52,8 @@
     received
 }
 
-/// Answers one request without `Connection: close`.
-async fn answer_once(stream: &mut Stream, received: &AtomicUsize) {
+/// Responds to one request without `Connection: close`.
+async fn respond_once(stream: &mut Stream, received: &AtomicUsize) {
     if read_request(stream).await {
         received.fetch_add(1, Ordering::Relaxed);
         let response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -61,25 +61,26 @@
     }
 }
 
-/// Answers the first request of a connection, and closes it 0.1 s later.
-async fn answer_once_and_close(mut stream: Stream, received: Arc<AtomicUsize>) {
-    answer_once(&mut stream, &received).await;
+/// Responds to the first request of a connection, and closes it 0.1 s later.
+async fn respond_once_and_close(mut stream: Stream, received: Arc<AtomicUsize>) {
+    respond_once(&mut stream, &received).await;
     sleep(Duration::from_millis(100)).await;
 }
 
-/// Answers the first request of a connection, and closes it when the second has arrived.
-async fn answer_once_and_close_on_the_second(mut stream: Stream, received: Arc<AtomicUsize>) {
-    answer_once(&mut stream, &received).await;
+/// Responds to the first request of a connection, and closes it when the second has arrived.
+async fn respond_once_and_close_on_the_second(mut stream: Stream, received: Arc<AtomicUsize>) {
+    respond_once(&mut stream, &received).await;
     if read_request(&mut stream).await {
         received.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// A request failed without being sent, on a kept connection that the server had closed.
+/// Guards against requests that fail unsent because the server had closed the idle connection
+/// taken for them.
 #[test]
-fn a_kept_connection_found_closed_is_replaced_before_anything_is_sent() {
+fn an_idle_connection_found_closed_is_replaced_before_anything_is_sent() {
     run(|host| async move {
-        let received = serve_http(&host, answer_once_and_close);
+        let received = serve_http(&host, respond_once_and_close);
         sleep(CONNECT).await;
         let client = HttpClient::new(&host, server_address());
         for sent in 1..=3 {
@@ -91,11 +92,11 @@
     });
 }
 
-/// What may have been executed is never sent again by the client itself.
+/// The client itself never repeats a request that may have been executed.
 #[test]
 fn a_request_whose_connection_closes_after_it_was_sent_is_not_repeated() {
     run(|host| async move {
-        let received = serve_http(&host, answer_once_and_close_on_the_second);
+        let received = serve_http(&host, respond_once_and_close_on_the_second);
         sleep(CONNECT).await;
         let client = HttpClient::new(&host, server_address());
         let first = client.send("POST", "/txn", Some(b"x"), TIMEOUT_S).await;
@@ -114,7 +115,7 @@
     PeerRequest::TaskCounts { jobs: Vec::new() }
 }
 
-async fn ask_twice_at_once(peer: &PeerClient) {
+async fn send_two_requests_at_once(peer: &PeerClient) {
     let request = counts_request();
     let (first, second) =
         tokio::join!(peer.ask(&request, TIMEOUT_S), peer.ask(&request, TIMEOUT_S));
@@ -122,8 +123,8 @@
     assert!(second.is_ok(), "{second:?}");
 }
 
-/// A burst of frames failed on connections that had been unused for so long that the other
-/// controller had closed them.
+/// Guards against a burst of frames that fails on connections which were idle for so long that
+/// the other controller has closed them.
 #[test]
 fn a_burst_to_a_peer_uses_no_connection_that_was_closed_for_being_idle() {
     run(|host| async move {
@@ -131,18 +132,18 @@
         tokio::spawn(async move {
             let listener = listening.bind(server_address()).await.unwrap();
             let handler = |_: PeerRequest| async {
-                sleep(PEER_ANSWER).await;
+                sleep(PEER_REPLY_TIME).await;
                 PeerReply::TaskCounts { counts: Vec::new() }
             };
             peer::serve(listening, listener, Arc::new(handler)).await;
         });
         sleep(CONNECT).await;
         let peer = PeerClient::new(&own, "stallion-1", server_address());
-        ask_twice_at_once(&peer).await;
+        send_two_requests_at_once(&peer).await;
         for _ in 0..IDLE_FOR_S {
             peer.ask(&counts_request(), TIMEOUT_S).await.unwrap();
             sleep(Duration::from_secs(1)).await;
         }
-        ask_twice_at_once(&peer).await;
+        send_two_requests_at_once(&peer).await;
     });
 }
--- a/crates/net/tests/rate_limiter.rs
+++ b/crates/net/tests/rate_limiter.rs
@@ -3,7 +3,7 @@
 use cherrywood_net::rate_limiter::{RateLimiter, RequestPriority};
 
 #[test]
-fn lower_priorities_leave_room_for_higher_ones() {
+fn lower_priorities_leave_tokens_to_higher_ones() {
     let limiter = RateLimiter::new(100.0);
     for _ in 0..40 {
         assert_eq!(
@@ -37,13 +37,13 @@
     assert_eq!(
         limiter.try_acquire(RequestPriority::Critical, 10.0, 0.11),
         None,
-        "refilled by the rate"
+        "refilled at the rate"
     );
 }
 
 /// A flood of status queries leaves enough tokens for a submission at any moment.
 #[test]
-fn polls_are_the_first_to_be_delayed() {
+fn status_queries_leave_tokens_to_critical_requests() {
     let limiter = RateLimiter::new(20.0);
     for tick in 0..300 {
         let now = f64::from(tick) * 0.01;
@@ -64,14 +64,14 @@
 fn a_large_critical_request_is_not_starved_by_small_ones_of_lower_priority() {
     let limiter = RateLimiter::new(33.0);
     limiter.try_acquire(RequestPriority::Critical, 33.0, 0.0);
-    let mut asks_again_at = 0.0;
+    let mut next_attempt_at = 0.0;
     let mut acquired_at = None;
     for tick in 1..400 {
         let now = f64::from(tick) * 0.01;
         limiter.try_acquire(RequestPriority::Placement, 2.0, now);
-        if acquired_at.is_none() && now >= asks_again_at {
+        if acquired_at.is_none() && now >= next_attempt_at {
             match limiter.try_acquire(RequestPriority::Critical, 24.0, now) {
-                Some(wait_s) => asks_again_at = now + wait_s,
+                Some(wait_s) => next_attempt_at = now + wait_s,
                 None => acquired_at = Some(now),
             }
         }
--- a/crates/net/tests/retry.rs
+++ b/crates/net/tests/retry.rs
@@ -31,7 +31,7 @@
         let mut request = POLICY.begin(now);
         loop {
             if rng.random::<f64>() >= failing_share {
-                budget.record_answer();
+                budget.record_response();
                 break;
             }
             match request.next_delay_s(&budget, None, rng.random(), now) {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn when_all_fails_repeating_adds_a_tenth_at_most() {
+fn when_all_attempts_fail_repetitions_add_at_most_a_tenth() {
     let t = send_requests(300, 1.0);
     assert!(
         t.repetitions * 10 <= t.requests,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn when_a_fifth_fails_hardly_anything_is_given_up() {
+fn when_a_fifth_of_attempts_fails_under_one_request_in_200_is_given_up() {
     let t = send_requests(2000, 0.2);
     assert!(t.repetitions > 350, "{}", t.repetitions);
     assert!(
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn delays_grow_are_spread_and_keep_retry_after_and_the_deadline() {
-    let base: Vec<f64> = (1..5).map(|n| POLICY.delay_s(n, 0.5)).collect();
-    assert_eq!(base, [0.05, 0.1, 0.2, 0.2]);
+fn delays_grow_with_jitter_and_respect_retry_after_and_the_deadline() {
+    let nominal: Vec<f64> = (1..5).map(|n| POLICY.delay_s(n, 0.5)).collect();
+    assert_eq!(nominal, [0.05, 0.1, 0.2, 0.2]);
     assert_eq!(POLICY.delay_s(3, 0.0), 0.1);
     assert!(POLICY.delay_s(3, 0.999) < 0.3);
     let budget = RetryBudget::default();
@@ -89,5 +89,5 @@
     assert!(request.next_delay_s(&budget, None, 0.5, 11.0).is_some());
     let mut request = POLICY.begin(0.0);
     let repetitions = (0..9).filter(|_| request.next_delay_s(&budget, None, 0.0, 0.0).is_some());
-    assert_eq!(repetitions.count(), 5, "six attempts in all");
+    assert_eq!(repetitions.count(), 5, "six attempts in total");
 }
