--- a/crates/wire/src/admission.rs
+++ b/crates/wire/src/admission.rs
@@ -1,14 +1,13 @@
-//! What controllers send each other about admission, and the record of it in the key-value
-//! store.
-//! Times are ages, never times of day: clocks differ.
+//! Messages between controllers about admission, and its record in the key-value store.
+//! Times are ages, never times of day, since clocks differ.
 //!
-//! Frames depend on the order and the types of fields, records on the names that `serde` is
-//! given here: both are frozen (tests/frozen.rs).
+//! Frames depend on the order and the types of fields, records on the `serde` names given here:
+//! both are frozen (tests/frozen.rs).
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// Stands for one class of jobs of one team.
+/// Identifies one class of jobs of one team.
 #[derive(
     Debug,
     Clone,
@@ -27,12 +26,12 @@
 #[serde(transparent)]
 pub struct TenantClassId(pub u64);
 
-/// Stands for the id of a job.
+/// Hash of a job's id.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct JobHash(pub u64);
 
-/// Version of an admission table, which only increases: of two tables the one of the later
-/// term is in force, within a term the one made later.
+/// Version of an admission table, which only increases: of two tables the one with the later
+/// term is in force, and within a term the one made later.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct TableVersion {
     /// The term of the leader that made the table.
@@ -41,28 +40,28 @@
     pub generation: u64,
 }
 
-/// What is admitted, made by one leader. A class that has no gate is admitted whole.
+/// The admission rules, made by one leader. All jobs of a class without a gate are admitted.
 #[derive(Debug, Clone, Default, PartialEq, Encode, Decode, Serialize, Deserialize)]
 pub struct AdmissionTable {
-    /// The term of the leader that made it.
+    /// The term of the leader that made the table.
     #[serde(rename = "epoch")]
     pub term: u64,
     /// Counts the tables of a term.
     pub generation: u64,
-    /// By class, ascending.
+    /// The gates, in ascending order of class.
     pub gates: Vec<Gate>,
-    /// Ascending by hash.
+    /// The learned median run times, in ascending order of hash.
     #[serde(rename = "medians")]
     pub median_runtimes: Vec<MedianRuntime>,
-    /// s until refused work may expect room.
+    /// Seconds until there may be capacity for refused work.
     pub relief_s: f32,
-    /// What there is too little of.
+    /// The resource that is short.
     #[serde(rename = "short")]
     pub shortage: Shortage,
 }
 
 impl AdmissionTable {
-    /// Its version.
+    /// Returns the table's version.
     pub fn version(&self) -> TableVersion {
         TableVersion {
             term: self.term,
@@ -71,14 +70,14 @@
     }
 }
 
-/// The learned median run time of a key, so that every controller expects the same work of a
-/// job. In records a pair.
+/// The learned median run time of a key, sent so that every controller computes the same
+/// expected work of a job. Stored in records as a pair.
 #[derive(Debug, Clone, Copy, PartialEq, Encode, Decode, Serialize, Deserialize)]
 #[serde(from = "(u64, f32)", into = "(u64, f32)")]
 pub struct MedianRuntime {
-    /// Stands for the key's name.
+    /// Hash of the key's name.
     pub key_hash: u64,
-    /// The median, s.
+    /// The median in seconds.
     pub median_s: f32,
 }
 
@@ -94,27 +93,27 @@
     }
 }
 
-/// The expected work up to which jobs of a class are admitted; of those that have just as
-/// much, a share.
+/// The bound of expected work up to which jobs of a class are admitted; of the jobs at the
+/// bound, only a share is.
 #[derive(Debug, Clone, Copy, PartialEq, Encode, Decode, Serialize, Deserialize)]
 pub struct Gate {
-    /// The class; or, for the gate of its largest jobs, the complement of its id.
+    /// The class's id; for the gate of its largest jobs, the complement of that id.
     #[serde(rename = "cell")]
     pub class: TenantClassId,
-    /// The bound, CPU-seconds; infinite if work doesn't matter.
+    /// The bound in CPU-seconds; infinite if the gate doesn't depend on work.
     #[serde(rename = "up_to")]
     pub max_work_cpu_s: f64,
     /// Share of the jobs at the bound that is admitted.
     pub share: f32,
 }
 
-/// What there is too little of.
+/// The resource whose shortage limits admission.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub enum Shortage {
-    /// Of nothing: all is admitted.
+    /// No shortage: all jobs are admitted.
     #[default]
     Nothing,
-    /// CPUs: more are wanted, and the cloud gives none.
+    /// CPUs: more are wanted and the cloud has none.
     Machines,
     /// CPUs that a team may use.
     #[serde(rename = "TeamLimit")]
@@ -124,41 +123,42 @@
     StoreWrites,
 }
 
-/// A job that was refused, as it is sent to the other controllers.
+/// A refused job, as sent to the other controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Encode, Decode)]
 pub struct RefusedJob {
     /// The job.
     pub job: JobHash,
     /// Its class and team.
     pub class: TenantClassId,
-    /// Its expected work.
+    /// Its expected work in CPU-seconds.
     pub work_cpu_s: f64,
-    /// s since its first attempt, when this was sent.
+    /// Seconds from the first attempt to submit the job until this message was sent.
     pub first_attempt_age_s: f32,
-    /// s since its last attempt, when this was sent.
+    /// Seconds from the last attempt to submit the job until this message was sent.
     pub last_attempt_age_s: f32,
 }
 
-/// `h/admission`: the table, and what the next leader goes on from.
+/// `h/admission`: the table, and the state from which the next leader continues.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionValue {
     /// The table in force.
     pub table: AdmissionTable,
-    /// CPU-seconds of expected work that a CPU completes in a second; 0 if it was never measured.
+    /// CPU-seconds of expected work that a CPU completes per second; 0 if never measured.
     #[serde(rename = "pace")]
     pub throughput: f64,
-    /// More CPUs are wanted and the cloud gives none.
+    /// Whether more CPUs are wanted and the cloud has none.
     #[serde(rename = "full")]
     pub at_capacity: bool,
     /// Recent counts of jobs of each class.
     #[serde(rename = "cells")]
     pub classes: Vec<ClassCounts>,
-    /// The chunks that hold it, if it doesn't fit one value: the rest is empty then.
+    /// The chunks that hold the value, if it doesn't fit one record; all other fields are then
+    /// empty.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parts: Option<crate::chunks::ChunkSet>,
 }
 
-/// Recent counts of jobs of a class, older jobs weighted less. In records a row.
+/// Recent counts of jobs of a class, with older jobs weighted less. Stored in records as a row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "ClassCountsRow", into = "ClassCountsRow")]
 pub struct ClassCounts {
@@ -170,7 +170,7 @@
     pub offered: f64,
     /// Jobs admitted.
     pub admitted: f64,
-    /// Jobs done.
+    /// Jobs completed.
     pub done: f64,
 }
 
--- a/crates/wire/src/agent.rs
+++ b/crates/wire/src/agent.rs
@@ -1,56 +1,55 @@
 //! Messages between workers and controllers.
 //!
-//! A worker sends heartbeats and executes the commands of their responses; a controller
-//! may also send commands straight to a worker's address. The same types travel between
-//! controllers as `bitcode` frames, which depend on the order and types of fields and
-//! variants.
+//! A worker sends heartbeats and executes the commands in the responses; a controller may also
+//! send commands directly to a worker's address. The same types are exchanged between
+//! controllers as `bitcode` frames, which depend on the order and types of fields and variants.
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// What a task on a machine is doing.
+/// State of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub enum TaskState {
-    /// It waits for its image.
+    /// Waits for its image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// It waits until all tasks of its gang are ready.
+    /// Waits until all tasks of its gang are ready.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// It runs.
+    /// Runs.
     #[serde(rename = "running")]
     Running,
-    /// It was commanded to stop and saves a checkpoint.
+    /// Was commanded to stop and is saving a checkpoint.
     #[serde(rename = "saving")]
     Saving,
-    /// It has ended; [`ExitCause`] says why.
+    /// Has ended; [`ExitCause`] gives the reason.
     #[serde(rename = "exited")]
     Exited,
 }
 
-/// Why a task ended, or was refused.
+/// Why a task ended or its start was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(from = "String")]
 pub enum ExitCause {
-    /// It completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Done,
-    /// It was stopped by command.
+    /// The task was stopped by command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// It failed: mostly the machine is faulty, sometimes the job.
+    /// The task failed, usually because the machine is faulty, sometimes because the job is.
     #[serde(rename = "error")]
     Error,
     /// The start was refused: the machine has too few free resources.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// The start was refused: the task is on this machine under another attempt.
+    /// The start was refused: the machine has the task under another attempt.
     #[serde(rename = "in_use")]
     InUse,
-    /// The start was refused: the worker found no such job or task.
+    /// The start was refused: the worker does not know the job or task.
     #[serde(rename = "unknown")]
     Unknown,
-    /// A cause that this version does not know; the task has ended all the same.
+    /// A cause that this version does not know; the task has ended nevertheless.
     Other,
 }
 
@@ -68,19 +67,19 @@
     }
 }
 
-/// A task in a heartbeat.
+/// Status of a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Encode, Decode)]
 pub struct TaskStatus {
-    /// Job id and task index, as `wk-000412/3`.
+    /// Job id and task index, for example `wk-000412/3`.
     #[serde(rename = "chore")]
     pub task: String,
-    /// Attempt under which the task was started.
+    /// The attempt under which the task was started.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// What it is doing.
+    /// The task's state.
     #[serde(rename = "gait")]
     pub state: TaskState,
-    /// Why it ended, if it has.
+    /// Why the task ended, if it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_cause: Option<ExitCause>,
     /// Whether a stopped task's progress was saved.
@@ -94,7 +93,7 @@
     /// Name of the machine.
     #[serde(rename = "mount")]
     pub machine: String,
-    /// Where its worker takes direct commands.
+    /// Address at which its worker accepts direct commands.
     #[serde(rename = "endpoint")]
     pub address: String,
     /// Its machine type.
@@ -109,16 +108,16 @@
     /// Starts at 1 and increases each time the worker's lease expires.
     #[serde(rename = "ride")]
     pub incarnation: u64,
-    /// Increases with every message: the larger (incarnation, sequence) is the newer one.
+    /// Increases with every message: the larger (incarnation, sequence) pair is the newer one.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "reins")]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine away, if it has given notice.
+    /// Seconds until the cloud reclaims the machine, if it has given a spot notice.
     #[serde(rename = "warning_s", default)]
     pub spot_notice_s: Option<f64>,
-    /// All tasks on the machine, exited ones included until they are forgotten.
+    /// All tasks on the machine, including exited ones until a `Forget` command.
     #[serde(rename = "chores")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -127,17 +126,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(tag = "call")]
 pub enum Command {
-    /// Start a task; without effect if the worker has it under this attempt.
+    /// Starts a task; no effect if the worker already has it under this attempt.
     #[serde(rename = "start")]
     Start {
         /// Job id and task index.
         #[serde(rename = "chore")]
         task: String,
-        /// Attempt of this start.
+        /// The attempt that this start belongs to.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stops a task.
     #[serde(rename = "stop")]
     Stop {
         /// Job id and task index.
@@ -146,11 +145,11 @@
         /// Attempt under which it was started.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that it may take to save a checkpoint.
+        /// Seconds allowed for saving a checkpoint.
         #[serde(rename = "slack_s")]
         grace_s: f64,
     },
-    /// Remove an exited task from the heartbeats.
+    /// Removes an exited task from the heartbeats.
     #[serde(rename = "forget")]
     Forget {
         /// Job id and task index.
@@ -165,7 +164,7 @@
 /// The response (200) to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Fencing token: the worker drops a response with a lower one than it has seen.
+    /// Fencing token: the worker drops a response with a lower token than it has seen.
     #[serde(rename = "reins")]
     pub fencing_token: u64,
     /// Commands, executed in order.
@@ -176,18 +175,18 @@
 /// The response (421) that sends a worker to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Label of that controller; None: the worker tries the next one it knows.
+    /// Label of that controller; None: the worker tries the next controller that it knows.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub controller: Option<String>,
 }
 
-/// Commands sent straight to a worker: `POST /orders`.
+/// Commands sent directly to a worker: `POST /orders`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Encode, Decode)]
 pub struct DirectCommands {
-    /// Executed only if the worker has seen no higher fencing token.
+    /// Fencing token: the commands are executed only if the worker has seen no higher one.
     #[serde(rename = "reins")]
     pub fencing_token: u64,
-    /// Executed only in this incarnation of the worker.
+    /// Incarnation of the worker: the commands are executed only in this one.
     #[serde(rename = "ride")]
     pub incarnation: u64,
     /// Commands, executed in order.
--- a/crates/wire/src/chunks.rs
+++ b/crates/wire/src/chunks.rs
@@ -1,46 +1,46 @@
 //! Values larger than the key-value store accepts, split into chunks. Sizes are counted in
 //! JSON, as the store counts them.
 //!
-//! A record names the set of its chunks, and each chunk carries the set's id: a reader
-//! that finds another id knows that a newer set is being written and reads the record again.
-//! Chunks are written before the record that names them, so a reader sees the old or the
-//! new value whole, wherever the writer stopped.
+//! A record names the set of its chunks, and each chunk carries the set's id: a reader that
+//! finds a different id knows that a newer set is being written and reads the record again.
+//! Chunks are written before the record that names them, so a reader sees either the old or
+//! the new value as a whole, at whatever point the writer stopped.
 
 use crate::WireError;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::io;
 
-/// The chunks of a value: `<key>/<slot>/<index>`, from index 0 on.
+/// The set of chunks of a value, with the keys `<key>/<slot>/<index>` from index 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkSet {
-    /// Sets of one key alternate between two slots, so that the current one stays whole
-    /// while the next is written. A submission never changes: its slot is the hash of its
-    /// content.
+    /// Sets of one key alternate between two slots, so that the current set stays complete
+    /// while the next one is written. A submission never changes, so its slot is the hash of
+    /// its content.
     pub slot: u64,
-    /// Id that the chunks of this set carry.
+    /// Id that every chunk of this set carries.
     #[serde(rename = "set")]
     pub set_id: u64,
     /// Number of chunks.
     pub count: u32,
 }
 
-/// One chunk as it is stored.
+/// A stored chunk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkRecord {
     /// Id of its set.
     #[serde(rename = "set")]
     pub set_id: u64,
-    /// Its piece of the value's JSON text.
+    /// The chunk's part of the value's JSON text.
     pub text: String,
 }
 
-/// Bytes of a stored chunk beside its text.
+/// Bytes of a stored chunk in addition to its text.
 const CHUNK_OVERHEAD_BYTES: usize = 48;
 
-/// Smallest text of a chunk in bytes, whatever the store accepts: splitting must end.
+/// Minimum text of a chunk in bytes, whatever the store accepts, so that splitting terminates.
 const CHUNK_TEXT_BYTES_MIN: usize = 16;
 
-/// Bytes that a control character takes in JSON (`\u001f`).
+/// Bytes of an escaped control character in JSON (`\u001f`).
 const ESCAPED_CONTROL_BYTES: usize = 6;
 
 /// Counts the bytes written to it.
@@ -57,8 +57,8 @@
     }
 }
 
-/// Bytes of a value as the key-value store counts them; `usize::MAX` for one that JSON
-/// can't represent, which fits nowhere.
+/// Returns the bytes of a value as the key-value store counts them; `usize::MAX` for a value
+/// that JSON can't represent, so that it exceeds every limit.
 pub fn json_size<T: Serialize>(value: &T) -> usize {
     let mut counter = ByteCounter(0);
     match serde_json::to_writer(&mut counter, value) {
@@ -67,8 +67,7 @@
     }
 }
 
-/// Splits a value's JSON into texts, each of which makes a chunk of at most
-/// `max_bytes`.
+/// Splits a value's JSON into texts, each of which makes a chunk of at most `max_bytes`.
 pub fn split_into_chunks<T: Serialize>(value: &T, max_bytes: usize) -> Vec<String> {
     let text = serde_json::to_string(value).unwrap_or_default();
     let max_text_bytes = max_bytes
@@ -90,7 +89,7 @@
     chunks
 }
 
-/// Bytes of a character in a JSON string.
+/// Returns the bytes of a character in a JSON string.
 fn escaped_bytes(c: char) -> usize {
     match c {
         '"' | '\\' => 2,
@@ -99,11 +98,11 @@
     }
 }
 
-/// The value whose chunks' texts these are, in order.
+/// Decodes the value from the texts of its chunks, given in order.
 ///
 /// # Errors
 ///
-/// [`WireError::Malformed`] if they are not the whole value, or not one of this type.
+/// [`WireError::Malformed`] if the texts are not the whole value, or not a value of this type.
 pub fn join_chunks<T: DeserializeOwned>(texts: &[String]) -> Result<T, WireError> {
     serde_json::from_str(&texts.concat()).map_err(|e| WireError::Malformed(e.to_string()))
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -24,13 +24,13 @@
     /// Price per hour of an on-demand machine.
     #[serde(rename = "hourly")]
     pub price_per_hour: f64,
-    /// Current price per hour of a spot machine; None if there are none.
+    /// Current price per hour of a spot machine; None if the type has no spot machines.
     #[serde(rename = "spot_price", default)]
     pub spot_price_per_hour: Option<f64>,
     /// Nominal boot time in seconds.
     #[serde(rename = "startup_s")]
     pub boot_s: f64,
-    /// Zones in which the type exists.
+    /// Zones in which the type is available.
     #[serde(rename = "pastures")]
     pub zones: Vec<String>,
 }
@@ -46,26 +46,26 @@
 /// A request to rent machines: `POST /machines`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentalRequest {
-    /// Idempotency key: the same key rents nothing again, so it is never reused.
+    /// Idempotency key: repeating a key rents no further machines, so keys are never reused.
     #[serde(rename = "hire")]
     pub request_id: String,
-    /// Wanted machine type.
+    /// Requested machine type.
     #[serde(rename = "box_breed")]
     pub machine_type: String,
-    /// Wanted zone.
+    /// Requested zone.
     #[serde(rename = "pasture")]
     pub zone: String,
-    /// Whether spot machines are wanted.
+    /// Whether spot machines are requested.
     #[serde(rename = "strays")]
     pub spot: bool,
-    /// Machines wanted; the cloud may give fewer.
+    /// Number of machines requested; the cloud may rent out fewer.
     pub count: u32,
 }
 
-/// Machines rented, or to be deleted.
+/// Names of machines that were rented or are to be deleted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Their names.
+    /// The names.
     #[serde(rename = "mounts")]
     pub machines: Vec<String>,
 }
@@ -73,18 +73,18 @@
 /// State of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedMachineState {
-    /// Rented and not up yet.
+    /// Rented but not up yet.
     #[serde(rename = "starting")]
     Booting,
     /// Up.
     #[serde(rename = "running")]
     Running,
-    /// Stopped on its own; listed until it is deleted.
+    /// Stopped by itself; listed until it is deleted.
     #[serde(rename = "failed")]
     Failed,
 }
 
-/// A machine in the cloud's list, which may be seconds old.
+/// A machine in the cloud's list, which may be several seconds old.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Name of the machine.
@@ -99,13 +99,13 @@
     /// Whether it is a spot machine.
     #[serde(rename = "strays")]
     pub spot: bool,
-    /// Its state at the moment that the list describes.
+    /// Its state at the time that the list describes.
     #[serde(rename = "gait")]
     pub state: ListedMachineState,
-    /// Seconds since it was rented, at that moment.
+    /// Seconds since it was rented, at that time.
     #[serde(rename = "held_s")]
     pub age_s: f64,
-    /// Where its worker takes direct commands.
+    /// Address at which its worker accepts direct commands.
     #[serde(rename = "endpoint", default, skip_serializing_if = "Option::is_none")]
     pub address: Option<String>,
 }
@@ -116,7 +116,7 @@
     /// Machines in the order of their names.
     #[serde(rename = "mounts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are more after these.
+    /// Whether more machines follow these.
     #[serde(rename = "truncated", default)]
     pub more: bool,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Wire formats of cherrywood: what users, workers, the cloud, the key-value store and
-//! other controllers exchange with a controller, and what it stores.
+//! Wire formats of cherrywood: the messages that a controller exchanges with users, workers,
+//! the cloud, the key-value store and other controllers, and the records that it stores.
 //!
-//! The protocol's own field names stand only here, as serde renames; everywhere else the
-//! standard terms are used. This package knows nothing of connections, time or policy.
+//! The protocol's own field names occur only in this package, as serde renames; all other code
+//! uses standard terms. This package is independent of connections, time and policy.
 
 #![deny(missing_docs)]
 
@@ -17,24 +17,24 @@
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// A body that could not be read.
+/// Why a body could not be decoded.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum WireError {
-    /// It is something else than one map.
+    /// The body is not a single map.
     #[error("the body is not a MessagePack map")]
     NotAMap,
-    /// It can't be decoded as the expected type.
+    /// The body can't be decoded as the expected type.
     #[error("malformed body: {0}")]
     Malformed(String),
-    /// A field, under its name in the protocol, has a value that is not allowed.
+    /// A field has a value that is not allowed; the field is given by its protocol name.
     #[error("invalid field {0}")]
     Invalid(&'static str),
 }
 
-/// Why a request was not served: the body of an error response.
+/// The body of an error response: why the request was not served.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// The reason, in words.
+    /// The reason, as human-readable text.
     pub error: String,
 }
 
@@ -43,13 +43,13 @@
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Decodes a body, which must be one map; unknown fields are ignored.
+/// Decodes a body, which must be a single map; unknown fields are ignored.
 ///
 /// # Errors
 ///
 /// [`WireError::NotAMap`] or [`WireError::Malformed`].
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, WireError> {
-    // A struct would also be read from a list, which the protocol forbids.
+    // serde would also decode a struct from a list, which the protocol forbids.
     match body.first() {
         Some(0x80..=0x8f | 0xde | 0xdf) => {}
         _ => return Err(WireError::NotAMap),
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -1,15 +1,14 @@
-//! The records that controllers store in the key-value store, one type for each kind of
-//! key.
+//! The records that controllers store in the key-value store, one type for each kind of key.
 //!
-//! Their stored field names never change: the version before reads them, and this version
-//! reads what that one wrote. A record may gain optional fields only.
+//! Their stored field names never change: the previous version reads what this one writes, and
+//! this version reads what the previous one wrote. A record may only gain optional fields.
 
 use crate::admission::AdmissionValue;
 use crate::chunks::{ChunkRecord, ChunkSet};
 use crate::user::{JobState, Submission};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// A record of any kind, as it is written.
+/// A record of any kind, as written to the store.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum StoredRecord {
@@ -37,8 +36,8 @@
     Member(MemberRecord),
 }
 
-/// `v/<label>`, written by each controller when it starts: what it understands. The
-/// version before had no such record and reads none.
+/// `v/<label>`: the stored formats that a controller understands, written when it starts. The
+/// previous version neither writes nor reads this record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Version of the stored formats that the controller understands.
@@ -46,21 +45,21 @@
     pub format_version: u32,
 }
 
-/// A record that is split into chunks where it doesn't fit one value: the record itself is
-/// empty then, but for the chunks it names, and the version before reads it as empty.
+/// A record that is split into chunks if it doesn't fit one value. The record itself is then
+/// empty except for the chunks that it names, and the previous version reads it as empty.
 pub trait ChunkedRecord: Serialize + DeserializeOwned + Default + Clone {
-    /// The chunks that hold the record, if it is split.
+    /// Returns the chunks that hold the record, if it is split.
     fn chunk_set(&self) -> Option<ChunkSet>;
-    /// The record of one that these chunks hold.
+    /// Creates the record that names these chunks.
     fn in_chunks(chunks: ChunkSet) -> Self;
-    /// The record as it is written.
+    /// Converts the record to the type in which it is written.
     fn into_record(self) -> StoredRecord;
 }
 
-/// `L/leader`, attached to the leader's lease: who leads and in which term.
+/// `L/leader`, attached to the leader's lease: the current leader and its term.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Label of the controller.
+    /// Label of the leading controller.
     pub leader: String,
     /// Its term.
     #[serde(rename = "epoch")]
@@ -77,10 +76,10 @@
     pub last_term: u64,
 }
 
-/// `j/<id>`: an accepted job that is neither done nor cancelled.
+/// `j/<id>`: an accepted job that has not reached a final state (done or cancelled).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The submission, but for what [`JobRecord::withheld`] holds.
+    /// The submission, except for the fields in [`JobRecord::withheld`].
     #[serde(rename = "job")]
     pub submission: Submission,
     /// Time of day at acceptance in milliseconds.
@@ -91,13 +90,13 @@
     pub withheld: Option<WithheldFields>,
 }
 
-/// Fields that a job record stores outside its submission, for a job that has
-/// dependencies or that fits no value: the submission then allows no machine type. A
-/// controller of the version before, which knows nothing of dependencies, finds no machine
-/// for the job and never starts it.
+/// Fields that a job record stores outside its submission, for a job that has dependencies or
+/// that doesn't fit one value: the stored submission then allows no machine type. A controller
+/// of the previous version, which doesn't support dependencies, finds no machine for the job
+/// and never starts it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WithheldFields {
-    /// The machine types that the job does allow.
+    /// The machine types that the job actually allows; None: any.
     #[serde(rename = "types", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
     /// The chunks that hold the whole submission (`n/<id>/<slot>/<index>`).
@@ -106,7 +105,7 @@
 }
 
 impl JobRecord {
-    /// The record of a job that fits one value.
+    /// Creates the record of a job that fits one value.
     pub fn new(mut submission: Submission, accepted_at_ms: u64) -> JobRecord {
         let withheld = (!submission.dependencies.is_empty()).then(|| WithheldFields {
             machine_types: submission.machine_types.replace(Vec::new()),
@@ -119,7 +118,7 @@
         }
     }
 
-    /// The record of a job whose submission these chunks hold.
+    /// Creates the record of a job whose submission these chunks hold.
     pub fn in_chunks(submission: &Submission, accepted_at_ms: u64, chunks: ChunkSet) -> JobRecord {
         let stub = Submission {
             machine_types: Some(Vec::new()),
@@ -137,12 +136,12 @@
         }
     }
 
-    /// The chunks that hold the submission, if it is split.
+    /// Returns the chunks that hold the submission, if it is split.
     pub fn chunk_set(&self) -> Option<ChunkSet> {
         self.withheld.as_ref().and_then(|w| w.chunks)
     }
 
-    /// The submission as its user sent it, unless chunks hold it.
+    /// Returns the submission as its user sent it, or the stored stub if chunks hold it.
     pub fn into_submission(self) -> Submission {
         let mut submission = self.submission;
         if let Some(withheld) = self.withheld {
@@ -163,12 +162,12 @@
     /// New placements.
     #[serde(rename = "rows")]
     pub placements: Vec<LoggedPlacement>,
-    /// Attempt and task index of placements in older entries that are off their machines. An
-    /// entry that holds a placement again is not older than itself: it counts.
+    /// Attempt and task index of placements in older entries whose tasks have left their
+    /// machines. A placement in this entry itself is not freed by it, even if listed here.
     pub freed: Vec<(u64, u32)>,
 }
 
-/// What each task of a job takes, known also after the job is over.
+/// Resources of each task of a job, kept in the log beyond the end of the job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoggedJob {
     /// Job id.
@@ -184,7 +183,7 @@
     pub memory_gb: f64,
 }
 
-/// Type, zone and price model of machines.
+/// Machine class: type, zone and price model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoggedMachineClass {
     /// Machine type.
@@ -192,12 +191,12 @@
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Whether they are spot machines.
+    /// Whether its machines are spot machines.
     pub spot: bool,
 }
 
-/// Consecutive tasks of a job placed on a machine under one attempt: machine, index of its
-/// class, incarnation, index of the job, attempt, first task, number of tasks.
+/// Consecutive tasks of a job placed on a machine under one attempt. The fields are: machine,
+/// index of its class, incarnation, index of the job, attempt, first task, number of tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoggedPlacement(
     pub String,
@@ -209,14 +208,14 @@
     pub u32,
 );
 
-/// `p/<id>`: the finished tasks of a live job. `p/<id>/<number>`: a range of them, where the
-/// bitmap of a large array doesn't fit one value.
+/// `p/<id>`: the finished tasks of a job without a final state. `p/<id>/<number>`: a range of
+/// them, if the bitmap of a large array doesn't fit one value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProgressRecord {
-    /// Bitmap in base64.
+    /// Bitmap of the finished tasks in base64.
     #[serde(rename = "finished")]
     pub finished_bitmap: String,
-    /// The task that the bitmap begins with; None: 0.
+    /// Index of the task that the bitmap begins with; None: 0.
     #[serde(rename = "first", default, skip_serializing_if = "Option::is_none")]
     pub first_task: Option<u32>,
 }
@@ -229,17 +228,19 @@
     pub state: JobState,
     /// Number of the job's tasks.
     pub tasks: u32,
-    /// Time of day at the end in milliseconds: jobs that depend on it are ready since then.
+    /// Time of day at the end in milliseconds, from which jobs that depend on this one are
+    /// ready.
     #[serde(rename = "at_ms", default, skip_serializing_if = "Option::is_none")]
     pub ended_at_ms: Option<u64>,
 }
 
-/// `h/all`: what the run time predictor has learned.
+/// `h/all`: the histograms that the run time predictor has learned.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct HistogramsRecord {
     /// Histogram of all keys together, in base64.
     pub pooled: String,
-    /// Key, observations, share of censored ones (lost tasks), histogram in base64.
+    /// For each key: its name, number of observations, share of censored observations (lost
+    /// tasks), histogram in base64.
     pub keys: Vec<(String, u64, f64, String)>,
     /// The chunks that hold the record, if it doesn't fit one value.
     #[serde(rename = "parts", default, skip_serializing_if = "Option::is_none")]
@@ -263,14 +264,13 @@
     }
 }
 
-/// `h/images`: which images are in the caches of which machines, a hint for the next
-/// leader.
+/// `h/images`: the images in the caches of machines, a hint for the next leader.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImageCacheRecord {
     /// Machine names in order, front coded; see [`ImageCacheRecord::front_coded`].
     #[serde(rename = "machines")]
     pub front_coded_machines: Vec<String>,
-    /// Number of the image, its size in GB, and a bitmap in base64 over the machines.
+    /// For each image: its number, its size in GB, and a bitmap over the machines in base64.
     pub images: Vec<(u64, f64, String)>,
     /// The chunks that hold the record, if it doesn't fit one value.
     #[serde(rename = "parts", default, skip_serializing_if = "Option::is_none")]
@@ -294,13 +294,13 @@
     }
 }
 
-/// Base of the digit that counts shared characters.
+/// Radix of the digit that gives the number of shared characters.
 const SHARED_RADIX: u32 = 36;
 
 impl ImageCacheRecord {
-    /// A name front coded: the number of characters that it shares with the one before it,
-    /// in one digit of base 36, and the rest. In full the names of 1,800 machines left no
-    /// room in a value.
+    /// Front codes a name: the number of leading characters that it shares with the previous
+    /// name, as one digit of base 36, and the rest. The full names of 1,800 machines would
+    /// leave no room in a value.
     pub fn front_coded(name: &str, previous: &str) -> String {
         let pairs = name.chars().zip(previous.chars());
         let shared = pairs.take_while(|(a, b)| a == b).count();
@@ -312,7 +312,7 @@
             .collect()
     }
 
-    /// The machines' names in full.
+    /// Decodes the machines' names.
     pub fn machine_names(&self) -> Vec<String> {
         let mut names: Vec<String> = Vec::with_capacity(self.front_coded_machines.len());
         for front_coded in &self.front_coded_machines {
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -1,6 +1,6 @@
 //! The key-value store's API: requests and responses between controllers and the store.
 //!
-//! Values are of any serde type; those that this service stores are in
+//! Values are of any serde type; the types that controllers store are in
 //! [`records`](crate::records).
 
 use crate::records::StoredRecord;
@@ -18,7 +18,7 @@
     /// Revision of the key's last change.
     #[serde(rename = "mark")]
     pub revision: u64,
-    /// Lease that the key is attached to: it is removed when the lease ends.
+    /// Lease that the key is attached to: the key is removed when the lease ends.
     #[serde(rename = "tether", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
@@ -29,7 +29,7 @@
     /// Keys in ascending order.
     #[serde(rename = "rows")]
     pub items: Vec<KeyValue<V>>,
-    /// Whether there are more after these.
+    /// Whether more keys follow these.
     #[serde(rename = "truncated", default)]
     pub more: bool,
     /// The store's revision.
@@ -37,7 +37,8 @@
     pub revision: u64,
 }
 
-/// The response about a key that doesn't exist, and to a renewed or revoked lease.
+/// The response to a read of a key that doesn't exist, and to the renewal or revocation of a
+/// lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RevisionResponse {
     /// The store's revision.
@@ -87,13 +88,13 @@
     /// Conditions of the compare-and-swap.
     #[serde(rename = "guards", default)]
     pub guards: Vec<Guard>,
-    /// Its changes; without any it only compares.
+    /// The changes; a transaction without any only compares.
     #[serde(rename = "apply", default = "Vec::new")]
     pub changes: Vec<Change<V>>,
 }
 
 impl<V> Txn<V> {
-    /// Whether a change attaches its key to a lease.
+    /// Returns whether a change attaches its key to a lease.
     pub fn attaches_lease(&self) -> bool {
         let attaches = |c: &Change<V>| matches!(c, Change::Put { lease: Some(_), .. });
         self.changes.iter().any(attaches)
@@ -114,11 +115,11 @@
 /// A request for a lease: `POST /leases`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Its time to live in milliseconds, from each renewal.
+    /// The lease's time to live in milliseconds, counted from each renewal.
     pub ttl_ms: u64,
 }
 
-/// The response to it.
+/// The response to a request for a lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseResponse {
     /// Id of the granted lease.
@@ -126,7 +127,7 @@
     pub id: u64,
 }
 
-/// A change of a watched key: one of `put_key` and `deleted_key` is set.
+/// A change of a watched key: exactly one of `put_key` and `deleted_key` is set.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent<V> {
     /// The key that was set.
@@ -155,17 +156,17 @@
     pub revision: u64,
 }
 
-/// Default of an optional field. With `#[serde(default)]` alone serde would require
+/// Default of an optional field. With a plain `#[serde(default)]`, serde would require
 /// `V: Default`.
 fn none<T>() -> Option<T> {
     None
 }
 
-/// The response to `GET /watch`: all changes since the asked revision.
+/// The response to `GET /watch`: all changes after the requested revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(bound(deserialize = "V: serde::de::DeserializeOwned"))]
 pub struct WatchResponse<V> {
-    /// The store's revision, to watch on from.
+    /// The store's revision, from which the next watch continues.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
     /// Changes in order.
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -5,22 +5,22 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::HashSet;
 
-/// Most tasks that one job may have (protocol).
+/// Maximum number of tasks of a job, as set by the protocol.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Bytes of a class, team or image name that are accepted.
+/// Maximum length in bytes of a class, team or image name.
 const NAME_BYTES_MAX: usize = 200;
 
-/// Characters of an invalid dependency that its error message repeats.
+/// Maximum number of characters of an invalid dependency that its error message quotes.
 const QUOTED_CHARS_MAX: usize = 40;
 
-/// How the tasks of a job relate.
+/// How the tasks of a job run in relation to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "array")]
     Array,
-    /// Tasks that run only all together (gang scheduling).
+    /// Tasks that run only all at the same time (gang scheduling).
     #[serde(rename = "gang")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -28,7 +28,7 @@
     Service,
 }
 
-/// Priority of a job, the highest first.
+/// Priority of a job, in descending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
     /// Production work.
@@ -45,19 +45,20 @@
     Low,
 }
 
-/// A job as its user submits it: `POST /submissions`.
+/// A job as submitted by its user: `POST /submissions`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Job id, as `wk-000412`, chosen by the user; a repeated submission has the same.
+    /// Job id, for example `wk-000412`, chosen by the user; a repeated submission has the same
+    /// id.
     #[serde(rename = "name_id")]
     pub id: String,
-    /// Class of jobs, for which the settings state objectives.
+    /// Job class, for which the settings state objectives.
     #[serde(rename = "herd")]
     pub class: String,
     /// Team whose quota applies.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How its tasks relate.
+    /// How its tasks run in relation to each other.
     #[serde(rename = "breed")]
     pub kind: JobKind,
     /// Its priority.
@@ -74,7 +75,7 @@
     /// Memory of each task in GB.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// Image that a machine must have before a task starts.
+    /// Image that a machine must have fetched before a task starts.
     #[serde(rename = "saddle")]
     pub image: String,
     /// Size of the image in GB.
@@ -95,16 +96,16 @@
     /// Whether tasks may run on spot machines.
     #[serde(rename = "strays")]
     pub allow_spot: bool,
-    /// The owner's estimate of a task's run time in seconds; 0 for services.
+    /// The user's estimate of a task's run time in seconds; 0 for services.
     #[serde(rename = "guess_s")]
     pub estimate_s: f64,
-    /// Seconds of progress after which a task saves a checkpoint; 0: it never does.
+    /// Seconds of progress between a task's checkpoints; 0: it saves none.
     #[serde(rename = "brand_s")]
     pub checkpoint_interval_s: f64,
     /// Seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "stow_s")]
     pub checkpoint_save_s: f64,
-    /// Seconds after its submission at which the job should be complete.
+    /// Seconds after its submission within which the job should be complete.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
     /// Jobs that must be done before a task of this one starts (DAG dependencies).
@@ -117,8 +118,8 @@
     pub dependencies: Vec<String>,
 }
 
-/// Reads a list of ids, or null for none. The decoder's own error names no field, so
-/// this one does.
+/// Deserializes a list of ids, or null for an empty one. The decoder's own error doesn't name
+/// the field, so this one adds it.
 fn dependency_list<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<String>, D::Error> {
     let list = Option::<Vec<String>>::deserialize(from).map_err(|e| {
         D::Error::custom(format!(
@@ -131,11 +132,11 @@
 const ALLOWED_DEPENDENCIES: &str = "a list of job ids like wk-000412";
 
 impl Submission {
-    /// Decodes and validates a request's body; a repeated dependency counts once.
+    /// Decodes and validates a request's body; repeated dependencies are removed.
     ///
     /// # Errors
     ///
-    /// A [`WireError`] that names the field, to be answered with 400.
+    /// A [`WireError`] that names the field; the response to it is 400.
     pub fn decode(body: &[u8]) -> Result<Self, WireError> {
         let mut job: Submission = crate::decode(body)?;
         job.validate()?;
@@ -193,14 +194,14 @@
         Ok(())
     }
 
-    /// The run time predictor's key: a team and the job's image.
+    /// Returns the run time predictor's key: team and image of the job.
     pub fn predictor_key(&self) -> String {
         format!("{}|{}", self.team, self.image)
     }
 }
 
-/// The job id in a submission that may be malformed otherwise; None if there is no valid
-/// one.
+/// Returns the job id of a submission that may otherwise be malformed; None if it has no valid
+/// id.
 pub fn submitted_job_id(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct IdOnly {
@@ -210,7 +211,7 @@
     is_valid_job_id(&id).then_some(id)
 }
 
-/// Whether an id has the form `wk-000412`.
+/// Returns whether an id has the form `wk-000412`.
 pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("wk-").is_some_and(|digits| {
         (6..=18).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
@@ -223,7 +224,7 @@
     Some((job, index.parse().ok()?))
 }
 
-/// State of a job as users see it.
+/// State of a job as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// Accepted; no task runs.
@@ -240,7 +241,7 @@
     Cancelled,
 }
 
-/// The answer to a user about a job.
+/// The response to a user's request about a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// Job id.
--- a/crates/wire/tests/chunks.rs
+++ b/crates/wire/tests/chunks.rs
@@ -1,4 +1,4 @@
-//! Values split into chunks.
+//! Splitting values into chunks and joining them.
 
 use cherrywood_wire::chunks::{ChunkRecord, join_chunks, json_size, split_into_chunks};
 
