--- a/crates/store/src/change_log.rs
+++ b/crates/store/src/change_log.rs
@@ -1,4 +1,4 @@
-//! The latest changes, for watches.
+//! Log of the latest changes, from which watches are served.
 
 use cherrywood_limits::store as limits;
 use cherrywood_wire::store::WatchEvent;
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::collections::vec_deque::Iter;
 
-/// The store no longer has changes that old.
+/// The requested changes are older than those that the log still holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("changes that old are compacted")]
 pub struct Compacted;
@@ -15,11 +15,11 @@
 struct LoggedChange {
     revision: u64,
     key: String,
-    /// None: deleted.
+    /// The value that was set; None: the key was deleted.
     value: Option<Value>,
 }
 
-/// The last changes, the oldest first; older ones are compacted.
+/// The latest changes, the oldest first; older changes are compacted.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
     changes: VecDeque<LoggedChange>,
@@ -28,7 +28,7 @@
 }
 
 impl ChangeLog {
-    /// Appends a change; a value of None is a deletion. Revisions never decrease.
+    /// Appends a change; a value of None is a deletion. Revisions must never decrease.
     pub(crate) fn append(&mut self, revision: u64, key: String, value: Option<Value>) {
         self.changes.push_back(LoggedChange {
             revision,
@@ -47,7 +47,7 @@
         self.changes.range(first..)
     }
 
-    /// Changes after the revision `from` of keys with the prefix.
+    /// Returns the changes after the revision `from` of keys with the prefix.
     pub(crate) fn events(
         &self,
         prefix: &str,
@@ -60,8 +60,8 @@
         Ok(watched.map(LoggedChange::to_event).collect())
     }
 
-    /// Whether [`ChangeLog::events`] would return anything but an empty list; cheaper than
-    /// asking for it.
+    /// Returns whether [`ChangeLog::events`] would return anything but an empty list, at less
+    /// cost.
     pub(crate) fn has_changed(&self, prefix: &str, from: u64) -> bool {
         from < self.compacted_revision || self.after(from).any(|c| c.key.starts_with(prefix))
     }
--- a/crates/store/src/key_value_store.rs
+++ b/crates/store/src/key_value_store.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// What became of a well-formed transaction.
+/// The outcome of a well-formed transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnOutcome {
     /// All its changes were applied at this revision.
@@ -38,7 +38,7 @@
     Conflict(Vec<String>),
 }
 
-/// How much a store holds.
+/// Size of a store's contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreSize {
     /// Number of keys.
@@ -59,7 +59,7 @@
 }
 
 impl KeyValueStore {
-    /// An empty store at revision 0.
+    /// Creates an empty store at revision 0.
     pub fn new(size_limits: SizeLimits) -> KeyValueStore {
         KeyValueStore {
             size_limits,
@@ -70,17 +70,17 @@
         }
     }
 
-    /// Changes the size limits of new transactions; what is stored stays, whatever its size.
+    /// Changes the size limits of new transactions; stored values are kept whatever their size.
     pub fn set_size_limits(&mut self, size_limits: SizeLimits) {
         self.size_limits = size_limits;
     }
 
-    /// Number of the last change.
+    /// Returns the revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// How much it holds.
+    /// Returns the size of the contents.
     pub fn size(&self) -> StoreSize {
         StoreSize {
             keys: self.entries.len(),
@@ -88,13 +88,13 @@
         }
     }
 
-    /// The key's value, if it exists.
+    /// Returns the key with its value, if it exists.
     pub fn get(&self, key: &str) -> Option<KeyValue<Value>> {
         self.entries.get(key).map(|e| e.to_key_value(key))
     }
 
-    /// Keys with the prefix after the key `from`, at most `limit` and as many as a response
-    /// holds; true if there are more.
+    /// Returns the keys with the prefix after the key `from`, at most `limit` and no more than
+    /// fit a response, and whether more follow.
     pub fn list(&self, prefix: &str, from: &str, limit: usize) -> (Vec<KeyValue<Value>>, bool) {
         let start = if from < prefix {
             Bound::Included(prefix)
@@ -116,12 +116,13 @@
         (items, false)
     }
 
-    /// Checks the form of a transaction. A malformed one is never applied, whatever its
+    /// Checks the form of a transaction. A malformed transaction is never applied, whatever its
     /// guards.
     ///
     /// # Errors
     ///
-    /// What is wrong with it, except [`InvalidRequest::UnknownLease`].
+    /// Any [`InvalidRequest`] that applies to transactions, except
+    /// [`InvalidRequest::UnknownLease`].
     pub fn validate(
         &self,
         guards: &[Guard],
@@ -130,11 +131,12 @@
         validate_txn(guards, changes, &self.size_limits)
     }
 
-    /// Applies all changes at one revision if all guards hold, else none.
+    /// Applies all changes at one revision if all guards hold, otherwise none.
     ///
     /// # Errors
     ///
-    /// What is wrong with its form. An unknown lease is an error whatever the guards.
+    /// Those of [`KeyValueStore::validate`], and [`InvalidRequest::UnknownLease`], whether or
+    /// not the guards hold.
     pub fn txn(
         &mut self,
         guards: &[Guard],
@@ -204,7 +206,7 @@
         self.change_log.append(self.revision, key, None);
     }
 
-    /// Changes after the revision `from` of keys with the prefix, in order.
+    /// Returns the changes after the revision `from` of keys with the prefix, in order.
     ///
     /// # Errors
     ///
@@ -213,8 +215,8 @@
         self.change_log.events(prefix, from)
     }
 
-    /// Whether [`KeyValueStore::changes`] would return anything but an empty list; cheaper
-    /// than asking for it.
+    /// Returns whether [`KeyValueStore::changes`] would return anything but an empty list, at
+    /// less cost.
     pub fn has_changed(&self, prefix: &str, from: u64) -> bool {
         self.change_log.has_changed(prefix, from)
     }
@@ -228,12 +230,13 @@
         self.leases.grant(ttl_ms, now)
     }
 
-    /// Renews a lease; false if it has ended.
+    /// Renews a lease; returns false if it has ended.
     pub fn renew_lease(&mut self, id: u64, now: f64) -> bool {
         self.leases.renew(id, now)
     }
 
-    /// Ends a lease and removes its keys, at one revision; false if it has ended before.
+    /// Ends a lease and removes its keys, at one revision; returns false if it has already
+    /// ended.
     pub fn revoke_lease(&mut self, id: u64) -> bool {
         let Some(keys) = self.leases.remove(id) else {
             return false;
@@ -248,7 +251,7 @@
         true
     }
 
-    /// Ends the leases that were not renewed in time; returns how many.
+    /// Ends the leases that were not renewed in time; returns their number.
     pub fn expire_leases(&mut self, now: f64) -> usize {
         let expired = self.leases.expired(now);
         for id in &expired {
@@ -257,12 +260,12 @@
         expired.len()
     }
 
-    /// When the next lease expires, unless it is renewed.
+    /// Returns when the next lease expires unless it is renewed; None without leases.
     pub fn next_lease_expiry(&self) -> Option<f64> {
         self.leases.next_expiry()
     }
 
-    /// Renews all leases, as after an outage.
+    /// Renews all leases, as the store does after an outage.
     pub fn renew_all_leases(&mut self, now: f64) {
         self.leases.renew_all(now);
     }
--- a/crates/store/src/leases.rs
+++ b/crates/store/src/leases.rs
@@ -19,7 +19,7 @@
 }
 
 impl Leases {
-    /// No leases yet; ids begin at 1.
+    /// Creates an empty set; ids begin at 1.
     pub(crate) fn new() -> Leases {
         Leases {
             by_id: BTreeMap::new(),
@@ -44,7 +44,7 @@
         Ok(id)
     }
 
-    /// Renews a lease; false if it has ended.
+    /// Renews a lease; returns false if it has ended.
     pub(crate) fn renew(&mut self, id: u64, now: f64) -> bool {
         let Some(lease) = self.by_id.get_mut(&id) else {
             return false;
@@ -60,32 +60,32 @@
         }
     }
 
-    /// Ends a lease and returns the keys that were attached to it; None if it has ended
-    /// before.
+    /// Ends a lease and returns the keys that were attached to it; None if it has already
+    /// ended.
     pub(crate) fn remove(&mut self, id: u64) -> Option<BTreeSet<String>> {
         self.by_id.remove(&id).map(|lease| lease.keys)
     }
 
-    /// Whether the lease was granted and has not ended.
+    /// Returns whether the lease was granted and has not ended.
     pub(crate) fn exists(&self, id: u64) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    /// Attaches a key to a lease; without effect if the lease has ended.
+    /// Attaches a key to a lease; no effect if the lease has ended.
     pub(crate) fn attach(&mut self, id: u64, key: &str) {
         if let Some(lease) = self.by_id.get_mut(&id) {
             lease.keys.insert(key.to_string());
         }
     }
 
-    /// Detaches a key from a lease, if both are there.
+    /// Detaches a key from a lease; no effect if the lease has ended or doesn't hold the key.
     pub(crate) fn detach(&mut self, id: u64, key: &str) {
         if let Some(lease) = self.by_id.get_mut(&id) {
             lease.keys.remove(key);
         }
     }
 
-    /// Leases that were not renewed in time, by id.
+    /// Returns the ids of the leases that were not renewed in time, in ascending order.
     pub(crate) fn expired(&self, now: f64) -> Vec<u64> {
         self.by_id
             .iter()
@@ -94,7 +94,7 @@
             .collect()
     }
 
-    /// When the next lease expires, unless it is renewed.
+    /// Returns when the next lease expires unless it is renewed; None without leases.
     pub(crate) fn next_expiry(&self) -> Option<f64> {
         let expiries = self.by_id.values().map(|lease| lease.expires_at);
         expiries.reduce(f64::min)
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,10 @@
-//! The key-value store's semantics as a library: a small consistent store with
-//! compare-and-swap transactions, revisions, leases and watches, and the HTTP responses
-//! that the protocol gives for them.
+//! The key-value store's semantics as a library: a small, consistent in-memory store with
+//! compare-and-swap transactions, revisions, leases and watches, and the HTTP responses that
+//! the protocol prescribes for them.
 //!
-//! It has no clock and does no I/O: the time is always an argument, in seconds on a steady
-//! clock. The simulator and the tests of controllers run it; a controller must never depend
-//! on it.
+//! The library has no clock and does no I/O: the time is always an argument, in seconds on a
+//! steady clock. The simulator and the controllers' tests use it; a controller must never
+//! depend on it.
 
 #![deny(missing_docs)]
 
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -15,16 +15,16 @@
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 
-/// What a deployment allows of the store; the field names are those of the settings.
+/// Limits that a deployment sets for the store; the field names are those of the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Changes per second.
+    /// Maximum number of changes per second.
     pub write_rps: f64,
-    /// KiB of a value, counted as JSON.
+    /// Maximum size of a value in KiB, counted as JSON.
     pub value_kb: f64,
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
 }
 
@@ -37,28 +37,28 @@
     }
 }
 
-/// What to do with a request.
+/// How to proceed with a request.
 #[derive(Debug)]
 pub enum ServiceReply {
-    /// Respond now.
+    /// Send this response now.
     Respond(Response),
-    /// Nothing has changed yet: call [`StoreService::resume_watch`] when something has, and
-    /// at the end of the hold.
+    /// Hold the watch, since nothing has changed yet: call [`StoreService::resume_watch`] when
+    /// something has, and at the end of the hold.
     HoldWatch(HeldWatch),
 }
 
-/// A watch that waits for a change.
+/// A watch request that is held until there is a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldWatch {
     /// Prefix of the watched keys.
     pub prefix: String,
-    /// Revision after which changes are wanted.
+    /// Revision after which changes are requested.
     pub from: u64,
-    /// Milliseconds for which it is held at most.
+    /// Maximum hold in milliseconds.
     pub hold_ms: u64,
 }
 
-/// A store with its rate limits, which answers requests. Times are in seconds on a steady
+/// A store with its rate limits, which handles requests. Times are in seconds on a steady
 /// clock.
 #[derive(Debug)]
 pub struct StoreService {
@@ -66,7 +66,7 @@
     pub store: KeyValueStore,
     request_rate: TokenBucket,
     write_rate: TokenBucket,
-    /// Requests answered with 429, which a well-behaved client never sees.
+    /// Requests refused with 429, which a well-behaved client never gets.
     pub requests_over_rate: u64,
 }
 
@@ -76,7 +76,7 @@
 }
 
 impl StoreService {
-    /// An empty store.
+    /// Creates a service with an empty store.
     pub fn new(service_limits: ServiceLimits) -> StoreService {
         StoreService {
             store: KeyValueStore::new(service_limits.sizes()),
@@ -86,13 +86,13 @@
         }
     }
 
-    /// Serves only this share of its rates from now on.
+    /// Scales the rate limits to this share of their configured values from now on.
     pub fn set_share(&mut self, share: f64) {
         self.request_rate.set_share(share);
         self.write_rate.set_share(share);
     }
 
-    /// Changes the limits from now on; what is stored stays.
+    /// Changes the limits from now on; stored values are kept.
     pub fn set_limits(&mut self, service_limits: ServiceLimits) {
         self.store.set_size_limits(service_limits.sizes());
         self.request_rate = TokenBucket::new(service_limits.rps, limits::RATE_BURST_S);
@@ -182,7 +182,7 @@
         if let Err(e) = self.store.validate(&txn.guards, &txn.changes) {
             return bad_request(e);
         }
-        // Counted whether or not its guards hold.
+        // The changes count towards the rate whether or not the guards hold.
         let changes = txn.changes.len() as f64;
         if changes > 0.0 && !self.write_rate.try_take(changes, now) {
             return self.over_rate();
@@ -226,7 +226,8 @@
         }
     }
 
-    /// The response to a held watch, if something has changed or its hold is over.
+    /// Returns the response to a held watch if something has changed or its hold is over,
+    /// otherwise None.
     pub fn resume_watch(&self, watch: &HeldWatch, hold_over: bool) -> Option<Response> {
         if !hold_over && !self.store.has_changed(&watch.prefix, watch.from) {
             return None;
--- a/crates/store/src/service/query.rs
+++ b/crates/store/src/service/query.rs
@@ -1,14 +1,14 @@
-//! The target of a request: a path and the fields of a query.
+//! Request targets: a path and the fields of a query.
 
 use std::collections::BTreeMap;
 
-/// A request's target; the query is percent-decoded.
+/// The target of a request; the query is percent-decoded.
 pub(super) struct Target<'a> {
     pub(super) path: &'a str,
     query: BTreeMap<String, String>,
 }
 
-/// A field of the query that must be a number isn't.
+/// A query field that must be a number is something else.
 pub(super) struct NotANumber;
 
 impl<'a> Target<'a> {
@@ -21,12 +21,12 @@
         }
     }
 
-    /// A field's text, empty if it is missing.
+    /// Returns a field's text; empty if the field is missing.
     pub(super) fn text(&self, field: &str) -> &str {
         self.query.get(field).map_or("", String::as_str)
     }
 
-    /// A field's number, the default if it is missing.
+    /// Returns a field's number; `default` if the field is missing.
     pub(super) fn number(&self, field: &str, default: u64) -> Result<u64, NotANumber> {
         match self.query.get(field) {
             Some(text) => text.parse().map_err(|_| NotANumber),
--- a/crates/store/src/token_bucket.rs
+++ b/crates/store/src/token_bucket.rs
@@ -1,9 +1,9 @@
-//! A rate limit that allows bursts.
+//! Token bucket rate limiter.
 
-/// Tokens within which a level counts as reached, against rounding.
+/// Tolerance in tokens when levels are compared, against rounding errors.
 const TOLERANCE: f64 = 1e-9;
 
-/// A rate of tokens per second, of which some seconds' worth may be taken at once.
+/// A token bucket, from which up to some seconds' worth of its rate may be taken at once.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     nominal_rate: f64,
@@ -15,7 +15,8 @@
 }
 
 impl TokenBucket {
-    /// A full bucket with a rate in tokens per second that holds `burst_s` seconds' worth.
+    /// Creates a full bucket with a rate in tokens per second; it holds `burst_s` seconds' worth
+    /// of tokens.
     pub fn new(rate: f64, burst_s: f64) -> TokenBucket {
         let capacity = rate * burst_s;
         TokenBucket {
@@ -28,13 +29,14 @@
         }
     }
 
-    /// From now on it has only this share of its rate and capacity.
+    /// Scales rate and capacity to this share of their nominal values from now on.
     pub fn set_share(&mut self, share: f64) {
         self.rate = self.nominal_rate * share;
         self.capacity = self.nominal_capacity * share;
     }
 
-    /// Takes `tokens` if they are there at `now`, in seconds on a steady clock.
+    /// Takes `tokens` if the bucket holds them at `now`, in seconds on a steady clock; returns
+    /// whether it did.
     pub fn try_take(&mut self, tokens: f64, now: f64) -> bool {
         let earned = (now - self.refilled_at).max(0.0) * self.rate;
         self.level = (self.level + earned).min(self.capacity);
--- a/crates/store/src/validation.rs
+++ b/crates/store/src/validation.rs
@@ -1,4 +1,4 @@
-//! Which requests are malformed (400).
+//! Validation of requests; malformed ones get the status 400.
 
 use cherrywood_limits::store as limits;
 use cherrywood_wire::chunks::json_size;
@@ -6,19 +6,19 @@
 use rmpv::Value;
 use std::collections::BTreeSet;
 
-/// Size limits that a deployment sets; the others are the protocol's own.
+/// Size limits that a deployment sets; the other limits are fixed by the protocol.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SizeLimits {
-    /// Bytes of a value, counted as JSON.
+    /// Maximum size of a value in bytes, counted as JSON.
     pub value_bytes: usize,
-    /// Changes in a transaction; it may have four times as many guards.
+    /// Maximum number of changes in a transaction; it may have four times as many guards.
     pub txn_changes: usize,
 }
 
 /// Why a request is malformed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// A key is too long, empty or has a space.
+    /// A key is empty, too long or contains a space.
     #[error("a key has 1 to 200 bytes and no spaces")]
     Key,
     /// A value is larger than the deployment allows.
@@ -27,13 +27,13 @@
     /// A transaction has more changes or guards than the deployment allows.
     #[error("too many changes, or too many guards")]
     TooManyOperations,
-    /// A transaction is too large in all.
+    /// The total size of a transaction exceeds the protocol's limit.
     #[error("the transaction is larger than 64 KiB")]
     TxnTooLarge,
-    /// A transaction changes a key twice.
+    /// A transaction changes a key more than once.
     #[error("two changes of one key")]
     DuplicateKey,
-    /// A key would be attached to a lease that has ended, or never was.
+    /// A key would be attached to a lease that has ended or was never granted.
     #[error("no such lease")]
     UnknownLease,
     /// A lease's time to live is out of range.
@@ -50,7 +50,7 @@
     }
 }
 
-/// Checks the form of a transaction; whether its leases exist is not part of that.
+/// Checks the form of a transaction, but not whether its leases exist.
 pub(crate) fn validate_txn(
     guards: &[Guard],
     changes: &[Change<Value>],
--- a/crates/store/tests/service.rs
+++ b/crates/store/tests/service.rs
@@ -1,4 +1,4 @@
-//! The key-value store as its clients see it, over its HTTP interface.
+//! The key-value store's behaviour at its HTTP interface.
 
 use cherrywood_net::server::{Request, Response};
 use cherrywood_store::{HeldWatch, ServiceLimits, ServiceReply, StoreService};
@@ -67,7 +67,7 @@
     assert_eq!(s.store.get("a").unwrap().value, Value::from("1"));
     assert_eq!(txn(&mut s, &[("a", 1), ("b", 1)], both), (200, 2));
     assert!(s.store.get("b").is_none());
-    // A comparison alone changes no revision.
+    // A transaction that only compares doesn't change the revision.
     assert_eq!(txn(&mut s, &[("a", 2)], Vec::new()), (200, 2));
 }
 
