--- a/crates/net/src/idle_connections.rs
+++ b/crates/net/src/idle_connections.rs
@@ -41,7 +41,7 @@
         let mut connections = lock(&self.connections);
         while let Some(mut connection) = connections.pop() {
             let is_fresh = now - connection.since < limits::KEEP_ALIVE_S;
-            if is_fresh && is_quiet(&mut connection.stream) {
+            if is_fresh && has_no_pending_input(&mut connection.stream) {
                 return Some(connection.stream);
             }
         }
@@ -64,7 +64,7 @@
 
 /// Returns whether nothing has arrived on the connection: neither its end nor unrequested
 /// bytes.
-fn is_quiet(stream: &mut Stream) -> bool {
+fn has_no_pending_input(stream: &mut Stream) -> bool {
     let mut byte = [0];
     let mut buffer = ReadBuf::new(&mut byte);
     // The next user of the connection registers its own waker.
--- a/crates/net/src/rate_limiter.rs
+++ b/crates/net/src/rate_limiter.rs
@@ -50,9 +50,9 @@
     level: f64,
     refilled_at: f64,
     /// Tokens that a critical request waits for.
-    owed: f64,
+    critical_tokens: f64,
     /// When that request last asked for them.
-    owed_since: f64,
+    last_critical_attempt_at: f64,
 }
 
 /// A token bucket that holds one second's worth of its rate. Its lock is held only briefly.
@@ -66,8 +66,8 @@
             rate,
             level: rate,
             refilled_at: 0.0,
-            owed: 0.0,
-            owed_since: 0.0,
+            critical_tokens: 0.0,
+            last_critical_attempt_at: 0.0,
         }))
     }
 
@@ -93,25 +93,26 @@
         let critical = priority == RequestPriority::Critical;
         // While a critical request waits, the bucket fills for it: otherwise many small
         // requests of lower priority would starve a larger critical one.
-        let owed = if critical || now - bucket.owed_since > limits::STORE_TIMEOUT_S {
-            0.0
-        } else {
-            bucket.owed
-        };
+        let reserved_for_critical =
+            if critical || now - bucket.last_critical_attempt_at > limits::STORE_TIMEOUT_S {
+                0.0
+            } else {
+                bucket.critical_tokens
+            };
         let reserved = priority.reserved_share() * bucket.rate;
         // A request for more tokens than the bucket holds may pass when the bucket is full.
-        let needed = (tokens + reserved + owed).min(bucket.rate);
-        let claimed = owed > 0.0 && bucket.level < owed + tokens;
+        let needed = (tokens + reserved + reserved_for_critical).min(bucket.rate);
+        let claimed = reserved_for_critical > 0.0 && bucket.level < reserved_for_critical + tokens;
         if bucket.level + TOLERANCE >= needed && !claimed {
             bucket.level -= tokens;
             if critical {
-                bucket.owed = 0.0;
+                bucket.critical_tokens = 0.0;
             }
             return None;
         }
         if critical {
-            bucket.owed = bucket.owed.max(tokens.min(bucket.rate));
-            bucket.owed_since = now;
+            bucket.critical_tokens = bucket.critical_tokens.max(tokens.min(bucket.rate));
+            bucket.last_critical_attempt_at = now;
         }
         Some(((needed - bucket.level) / bucket.rate.max(RATE_MIN)).max(WAIT_MIN_S))
     }
@@ -119,8 +120,8 @@
 
 impl TokenBucket {
     fn refill(&mut self, now: f64) {
-        let earned = (now - self.refilled_at).max(0.0) * self.rate;
-        self.level = (self.level + earned).min(self.rate);
+        let added = (now - self.refilled_at).max(0.0) * self.rate;
+        self.level = (self.level + added).min(self.rate);
         self.refilled_at = now;
     }
 }
--- a/crates/net/tests/cloud.rs
+++ b/crates/net/tests/cloud.rs
@@ -18,24 +18,24 @@
 
 /// Starts a cloud that sends these bytes as its response to one request; returns a client of
 /// it.
-fn cloud_responding(host: &Runtime, response: &'static [u8]) -> CloudClient {
-    let listener = host.clone();
+fn cloud_responding(runtime: &Runtime, response: &'static [u8]) -> CloudClient {
+    let server_runtime = runtime.clone();
     tokio::spawn(async move {
-        let mut listener = listener.bind(cloud_address()).await.unwrap();
+        let mut listener = server_runtime.bind(cloud_address()).await.unwrap();
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut request = [0; 1024];
         let read = stream.read(&mut request).await.unwrap();
         assert!(read > 0);
         stream.write_all(response).await.unwrap();
     });
-    CloudClient::new(host, cloud_address(), REQUESTS_PER_S)
+    CloudClient::new(runtime, cloud_address(), REQUESTS_PER_S)
 }
 
 /// Returns the result of a deletion to which the cloud responds with these bytes.
 fn deletion_result(response: &'static [u8]) -> Result<(), NetError> {
     let (sender, receiver) = std::sync::mpsc::channel();
-    run(|host| async move {
-        let cloud = cloud_responding(&host, response);
+    run(|runtime| async move {
+        let cloud = cloud_responding(&runtime, response);
         sleep(CONNECT).await;
         let result = cloud.delete_machines(&["vm-000001".to_owned()]).await;
         sender.send(result).unwrap();
--- a/crates/net/tests/connection_pool/load.rs
+++ b/crates/net/tests/connection_pool/load.rs
@@ -108,15 +108,15 @@
     pub fn run(self) -> LoadResults {
         let results = Arc::new(Mutex::new(LoadResults::default()));
         let recorder = results.clone();
-        run(|host| async move {
-            let pools: Vec<_> = (0..CONTROLLERS).map(|n| self.serve(&host, n)).collect();
+        run(|runtime| async move {
+            let pools: Vec<_> = (0..CONTROLLERS).map(|n| self.serve(&runtime, n)).collect();
             sleep(CONNECT).await;
             for n in 0..self.users {
-                let client = Client::new(host.clone(), n, self.first_bytes_s);
+                let client = Client::new(runtime.clone(), n, self.first_bytes_s);
                 tokio::spawn(user(client, self.arrival, recorder.clone()));
             }
             for n in 0..WORKERS {
-                let client = Client::new(host.clone(), n, self.first_bytes_s);
+                let client = Client::new(runtime.clone(), n, self.first_bytes_s);
                 let first_within_s = self.workers_first_within_s;
                 tokio::spawn(worker(client, n, first_within_s, recorder.clone()));
             }
@@ -143,10 +143,10 @@
         results
     }
 
-    fn serve(&self, host: &Runtime, n: usize) -> Arc<ConnectionPool> {
+    fn serve(&self, runtime: &Runtime, n: usize) -> Arc<ConnectionPool> {
         let pool = ConnectionPool::new(PoolLimits::for_sockets(self.sockets));
         let server_pool = pool.clone();
-        let (clock, user_response_s) = (host.clone(), self.user_response_s);
+        let (clock, user_response_s) = (runtime.clone(), self.user_response_s);
         let handler = move |request: Request, _| {
             let clock = clock.clone();
             async move {
@@ -158,10 +158,10 @@
                 Response::empty(200)
             }
         };
-        let host = host.clone();
+        let runtime = runtime.clone();
         tokio::spawn(async move {
-            let listener = host.bind(address(n)).await.unwrap();
-            server::serve_pool(host, listener, server_pool, classify, Arc::new(handler)).await;
+            let listener = runtime.bind(address(n)).await.unwrap();
+            server::serve_pool(runtime, listener, server_pool, classify, Arc::new(handler)).await;
         });
         pool
     }
@@ -177,16 +177,16 @@
 /// A worker's or user's client, which sends requests to one controller at a time, on one
 /// keep-alive connection.
 struct Client {
-    host: Runtime,
+    runtime: Runtime,
     controller: usize,
     idle: Option<Stream>,
     first_bytes_s: f64,
 }
 
 impl Client {
-    fn new(host: Runtime, n: usize, first_bytes_s: f64) -> Self {
+    fn new(runtime: Runtime, n: usize, first_bytes_s: f64) -> Self {
         Client {
-            host,
+            runtime,
             controller: n % CONTROLLERS,
             idle: None,
             first_bytes_s,
@@ -195,8 +195,8 @@
 
     /// Sends one request on the idle connection, or on a new one.
     async fn request(&mut self, path: &str, timeout_s: f64) -> Result<(), Failure> {
-        let host = self.host.clone();
-        let result = host.timeout(timeout_s, self.exchange(path)).await;
+        let runtime = self.runtime.clone();
+        let result = runtime.timeout(timeout_s, self.exchange(path)).await;
         result.unwrap_or(Err(Failure::TimedOut))
     }
 
@@ -219,10 +219,10 @@
     }
 
     async fn connect(&mut self) -> Result<Stream, Failure> {
-        let connected = self.host.connect(address(self.controller)).await;
+        let connected = self.runtime.connect(address(self.controller)).await;
         let stream = connected.map_err(|_| Failure::NewConnectionClosed)?;
         if self.first_bytes_s > 0.0 {
-            self.host.sleep(self.first_bytes_s).await;
+            self.runtime.sleep(self.first_bytes_s).await;
         }
         Ok(stream)
     }
@@ -241,16 +241,18 @@
     first_within_s: f64,
     results: Arc<Mutex<LoadResults>>,
 ) {
-    let host = client.host.clone();
-    let mut last_success_at = host.now();
-    host.sleep(host.random_between(0.0, first_within_s)).await;
+    let runtime = client.runtime.clone();
+    let mut last_success_at = runtime.now();
+    runtime
+        .sleep(runtime.random_between(0.0, first_within_s))
+        .await;
     loop {
-        let sent = host.now();
+        let sent = runtime.now();
         let result = client.request(HEARTBEAT, HEARTBEAT_TIMEOUT_S).await;
         let ok = result.is_ok();
         {
             let mut results = results.lock().unwrap();
-            let gap_s = host.now() - last_success_at;
+            let gap_s = runtime.now() - last_success_at;
             let longest = results.longest_gap_s.entry(n).or_default();
             *longest = longest.max(gap_s);
             results.heartbeats += 1;
@@ -261,20 +263,20 @@
         }
         if ok {
             last_success_at = sent;
-            let next = sent + REPORT_S * host.random_between(0.75, 1.25);
-            host.sleep(next - host.now()).await;
+            let next = sent + REPORT_S * runtime.random_between(0.75, 1.25);
+            runtime.sleep(next - runtime.now()).await;
         } else {
             client.move_to_next_controller();
-            host.sleep(NEXT_CONTROLLER_DELAY_S).await;
+            runtime.sleep(NEXT_CONTROLLER_DELAY_S).await;
         }
     }
 }
 
 /// Sends status queries without end; after a failure it tries the next controller 1 s later.
 async fn user(mut client: Client, arrival: Arrival, results: Arc<Mutex<LoadResults>>) {
-    let host = client.host.clone();
-    let first = host.random_between(0.0, arrival.first_within_s);
-    host.sleep(first).await;
+    let runtime = client.runtime.clone();
+    let first = runtime.random_between(0.0, arrival.first_within_s);
+    runtime.sleep(first).await;
     loop {
         let result = client.request(JOB, QUERY_TIMEOUT_S).await;
         let ok = result.is_ok();
@@ -291,7 +293,7 @@
         }
         let pause_s = if ok { QUERY_INTERVAL_S } else { 1.0 };
         let spread = arrival.pause_spread;
-        let pause_s = pause_s * host.random_between(1.0 - spread, 1.0 + spread);
-        host.sleep(pause_s).await;
+        let pause_s = pause_s * runtime.random_between(1.0 - spread, 1.0 + spread);
+        runtime.sleep(pause_s).await;
     }
 }
--- a/crates/net/tests/connection_pool/main.rs
+++ b/crates/net/tests/connection_pool/main.rs
@@ -47,8 +47,8 @@
 }
 
 /// Opens a connection and completes one request on it.
-async fn connect_and_send(host: &Runtime, path: &str) -> Stream {
-    let mut stream = host.connect(address(0)).await.unwrap();
+async fn connect_and_send(runtime: &Runtime, path: &str) -> Stream {
+    let mut stream = runtime.connect(address(0)).await.unwrap();
     let (response, _) = send(&mut stream, path).await.expect("a response");
     assert_eq!(response.status, 200);
     stream
@@ -63,8 +63,7 @@
 
 /// Serves controller 0; requests for `/hang` get their responses when the returned handle is
 /// notified.
-fn serve(host: &Runtime, limits: PoolLimits) -> Arc<Notify> {
-    let listener = host.clone();
+fn serve(runtime: &Runtime, limits: PoolLimits) -> Arc<Notify> {
     let release = Arc::new(Notify::new());
     let held = release.clone();
     let handler = move |request: Request, _| {
@@ -76,32 +75,32 @@
             Response::empty(200)
         }
     };
-    let host = host.clone();
+    let runtime = runtime.clone();
     tokio::spawn(async move {
-        let listener = listener.bind(address(0)).await.unwrap();
-        server::serve_classes(host, listener, limits, classify, Arc::new(handler)).await;
+        let listener = runtime.bind(address(0)).await.unwrap();
+        server::serve_classes(runtime, listener, limits, classify, Arc::new(handler)).await;
     });
     release
 }
 
 #[test]
 fn at_the_limit_idle_connections_are_evicted_and_active_ones_never() {
-    run(|host| async move {
-        let release = serve(&host, PoolLimits::uniform(2));
+    run(|runtime| async move {
+        let release = serve(&runtime, PoolLimits::uniform(2));
         sleep(CONNECT).await;
-        let mut idle = connect_and_send(&host, JOB).await;
-        let mut active = host.connect(address(0)).await.unwrap();
+        let mut idle = connect_and_send(&runtime, JOB).await;
+        let mut active = runtime.connect(address(0)).await.unwrap();
         let first_active = tokio::spawn(async move { send(&mut active, "/hang").await });
         sleep(Duration::from_secs(1)).await;
 
-        let mut third = connect_and_send(&host, JOB).await;
+        let mut third = connect_and_send(&runtime, JOB).await;
         assert!(is_closed(&mut idle).await, "it was idle, and the oldest");
 
-        let mut fourth = host.connect(address(0)).await.unwrap();
+        let mut fourth = runtime.connect(address(0)).await.unwrap();
         assert!(is_closed(&mut third).await);
         let second_active = tokio::spawn(async move { send(&mut fourth, "/hang").await });
         sleep(Duration::from_secs(1)).await;
-        let mut fifth = host.connect(address(0)).await.unwrap();
+        let mut fifth = runtime.connect(address(0)).await.unwrap();
         assert!(is_closed(&mut fifth).await, "all others are active");
 
         release.notify_waiters();
@@ -114,24 +113,24 @@
 
 #[test]
 fn users_connections_are_evicted_before_those_of_workers() {
-    run(|host| async move {
-        serve(&host, PoolLimits::uniform(3));
+    run(|runtime| async move {
+        serve(&runtime, PoolLimits::uniform(3));
         sleep(CONNECT).await;
-        let mut worker = connect_and_send(&host, HEARTBEAT).await;
-        let mut older_user = connect_and_send(&host, JOB).await;
-        let mut user = connect_and_send(&host, JOB).await;
+        let mut worker = connect_and_send(&runtime, HEARTBEAT).await;
+        let mut older_user = connect_and_send(&runtime, JOB).await;
+        let mut user = connect_and_send(&runtime, JOB).await;
         // The older connection becomes the most recently used one.
         assert!(send(&mut older_user, JOB).await.is_some());
 
-        let mut second_worker = connect_and_send(&host, HEARTBEAT).await;
+        let mut second_worker = connect_and_send(&runtime, HEARTBEAT).await;
         assert!(is_closed(&mut user).await);
         assert!(!is_closed(&mut older_user).await);
-        let mut third_worker = connect_and_send(&host, HEARTBEAT).await;
+        let mut third_worker = connect_and_send(&runtime, HEARTBEAT).await;
         assert!(is_closed(&mut older_user).await);
         assert!(!is_closed(&mut worker).await);
 
         // Idle connections of workers are evicted for users as well.
-        connect_and_send(&host, JOB).await;
+        connect_and_send(&runtime, JOB).await;
         assert!(is_closed(&mut worker).await);
         assert!(!is_closed(&mut second_worker).await);
         assert!(!is_closed(&mut third_worker).await);
@@ -140,12 +139,12 @@
 
 #[test]
 fn a_connection_without_a_request_yet_is_evicted_after_older_ones() {
-    run(|host| async move {
-        serve(&host, PoolLimits::uniform(2));
+    run(|runtime| async move {
+        serve(&runtime, PoolLimits::uniform(2));
         sleep(CONNECT).await;
-        let mut worker = connect_and_send(&host, HEARTBEAT).await;
-        let mut fresh = host.connect(address(0)).await.unwrap();
-        let mut another = host.connect(address(0)).await.unwrap();
+        let mut worker = connect_and_send(&runtime, HEARTBEAT).await;
+        let mut fresh = runtime.connect(address(0)).await.unwrap();
+        let mut another = runtime.connect(address(0)).await.unwrap();
         assert!(is_closed(&mut worker).await);
         assert!(send(&mut fresh, HEARTBEAT).await.is_some());
         assert!(send(&mut another, HEARTBEAT).await.is_some());
@@ -154,14 +153,14 @@
 
 #[test]
 fn connections_are_closed_with_a_response_before_the_pool_is_full() {
-    run(|host| async move {
+    run(|runtime| async move {
         let limits = PoolLimits {
             max_connections: 10,
             max_open_to_keep_users: 2,
             max_open_to_keep_workers: 3,
             max_active_users: 10,
         };
-        serve(&host, limits);
+        serve(&runtime, limits);
         sleep(CONNECT).await;
         let mut kept = Vec::new();
         for (path, stays_open) in [
@@ -172,7 +171,7 @@
             (HEARTBEAT, false),
             (JOB, false),
         ] {
-            let mut stream = host.connect(address(0)).await.unwrap();
+            let mut stream = runtime.connect(address(0)).await.unwrap();
             let (_, kept_alive) = send(&mut stream, path).await.expect("a response");
             assert_eq!(kept_alive, stays_open, "{path} beside {}", kept.len());
             if kept_alive {
@@ -186,43 +185,43 @@
 
 #[test]
 fn users_that_wait_for_responses_leave_part_of_the_pool_to_heartbeats() {
-    run(|host| async move {
+    run(|runtime| async move {
         let limits = PoolLimits {
             max_active_users: 2,
             ..PoolLimits::uniform(4)
         };
-        let release = serve(&host, limits);
+        let release = serve(&runtime, limits);
         sleep(CONNECT).await;
         let mut held = Vec::new();
         for _ in 0..2 {
-            let mut user = host.connect(address(0)).await.unwrap();
+            let mut user = runtime.connect(address(0)).await.unwrap();
             held.push(tokio::spawn(async move { send(&mut user, "/hang").await }));
         }
         sleep(Duration::from_secs(1)).await;
-        let mut user = host.connect(address(0)).await.unwrap();
+        let mut user = runtime.connect(address(0)).await.unwrap();
         let (response, _) = send(&mut user, "/hang").await.expect("a response");
         assert_eq!(response.status, 503);
         assert!(response.retry_after_s.is_some());
-        connect_and_send(&host, HEARTBEAT).await;
+        connect_and_send(&runtime, HEARTBEAT).await;
         release.notify_waiters();
         for request in held {
             let (response, _) = request.await.unwrap().expect("a response");
             assert_eq!(response.status, 200);
         }
-        connect_and_send(&host, JOB).await;
+        connect_and_send(&runtime, JOB).await;
     });
 }
 
 /// A request that arrived before its connection was evicted gets a response.
 #[test]
 fn a_request_that_crosses_an_eviction_gets_a_response_that_closes_the_connection() {
-    run(|host| async move {
-        serve(&host, PoolLimits::uniform(1));
+    run(|runtime| async move {
+        serve(&runtime, PoolLimits::uniform(1));
         sleep(CONNECT).await;
-        let mut first = connect_and_send(&host, HEARTBEAT).await;
+        let mut first = connect_and_send(&runtime, HEARTBEAT).await;
         // No other task runs between these two steps: the server sees the new connection first
         // and then the request.
-        let mut second = host.connect(address(0)).await.unwrap();
+        let mut second = runtime.connect(address(0)).await.unwrap();
         let (response, kept_alive) = send(&mut first, HEARTBEAT).await.expect("a response");
         assert_eq!(response.status, 200);
         assert!(!kept_alive);
--- a/crates/net/tests/hedge.rs
+++ b/crates/net/tests/hedge.rs
@@ -23,7 +23,7 @@
 /// Sends a hedged request whose n-th attempt is `attempt(n)`; returns the result and the number
 /// of attempts.
 async fn send<F>(
-    host: &cherrywood_net::Runtime,
+    runtime: &cherrywood_net::Runtime,
     budget: &RetryBudget,
     attempt: impl Fn(usize) -> F,
 ) -> (Result<usize, NetError>, usize)
@@ -31,7 +31,7 @@
     F: Future<Output = Result<usize, NetError>>,
 {
     let attempts = Cell::new(0);
-    let result = send_hedged(host, budget, POLICY, || {
+    let result = send_hedged(runtime, budget, POLICY, || {
         attempts.set(attempts.get() + 1);
         attempt(attempts.get())
     })
@@ -48,9 +48,9 @@
 
 #[test]
 fn the_first_response_is_taken_whichever_request_it_is_for() {
-    run(|host| async move {
+    run(|runtime| async move {
         let budget = RetryBudget::default();
-        let (result, attempts) = send(&host, &budget, |attempt| async move {
+        let (result, attempts) = send(&runtime, &budget, |attempt| async move {
             if attempt < 3 {
                 std::future::pending::<()>().await;
             }
@@ -64,14 +64,14 @@
 
 #[test]
 fn a_request_with_an_early_response_or_an_error_is_sent_once() {
-    run(|host| async move {
+    run(|runtime| async move {
         let budget = RetryBudget::default();
-        let responded = send(&host, &budget, |attempt| async move {
+        let responded = send(&runtime, &budget, |attempt| async move {
             sleep(RESPONSE_TIME).await;
             Ok(attempt)
         });
         assert_eq!(responded.await, (Ok(1), 1));
-        let failed = send(&host, &budget, |_| async { Err(refused()) });
+        let failed = send(&runtime, &budget, |_| async { Err(refused()) });
         assert_eq!(failed.await, (Err(refused()), 1));
     });
 }
@@ -79,12 +79,12 @@
 /// Guards against repetitions that add load to a service that responds to nobody.
 #[test]
 fn repetitions_to_a_service_that_never_responds_stay_within_the_budget() {
-    run(|host| async move {
+    run(|runtime| async move {
         let budget = RetryBudget::default();
         let mut attempts = 0;
         let requests = 100;
         for _ in 0..requests {
-            let unanswered = send(&host, &budget, |_| std::future::pending());
+            let unanswered = send(&runtime, &budget, |_| std::future::pending());
             let (result, sent) = unanswered.await;
             assert!(result.is_err());
             attempts += sent;
--- a/crates/net/tests/idle_connections.rs
+++ b/crates/net/tests/idle_connections.rs
@@ -34,16 +34,16 @@
 
 /// Serves HTTP connections with `on_connection`; returns the counter of requests received.
 fn serve_http<F>(
-    host: &Runtime,
+    runtime: &Runtime,
     on_connection: impl Fn(Stream, Arc<AtomicUsize>) -> F + Send + 'static,
 ) -> Arc<AtomicUsize>
 where
     F: Future<Output = ()> + Send + 'static,
 {
     let received = Arc::new(AtomicUsize::new(0));
-    let (counted, host) = (received.clone(), host.clone());
+    let (counted, runtime) = (received.clone(), runtime.clone());
     tokio::spawn(async move {
-        let mut listener = host.bind(server_address()).await.unwrap();
+        let mut listener = runtime.bind(server_address()).await.unwrap();
         loop {
             let (stream, _) = listener.accept().await.unwrap();
             tokio::spawn(on_connection(stream, counted.clone()));
@@ -79,10 +79,10 @@
 /// taken for them.
 #[test]
 fn an_idle_connection_found_closed_is_replaced_before_anything_is_sent() {
-    run(|host| async move {
-        let received = serve_http(&host, respond_once_and_close);
+    run(|runtime| async move {
+        let received = serve_http(&runtime, respond_once_and_close);
         sleep(CONNECT).await;
-        let client = HttpClient::new(&host, server_address());
+        let client = HttpClient::new(&runtime, server_address());
         for sent in 1..=3 {
             let response = client.send("POST", "/txn", Some(b"x"), TIMEOUT_S).await;
             assert_eq!(response.map(|r| r.status), Ok(200), "request {sent}");
@@ -95,10 +95,10 @@
 /// The client itself never repeats a request that may have been executed.
 #[test]
 fn a_request_whose_connection_closes_after_it_was_sent_is_not_repeated() {
-    run(|host| async move {
-        let received = serve_http(&host, respond_once_and_close_on_the_second);
+    run(|runtime| async move {
+        let received = serve_http(&runtime, respond_once_and_close_on_the_second);
         sleep(CONNECT).await;
-        let client = HttpClient::new(&host, server_address());
+        let client = HttpClient::new(&runtime, server_address());
         let first = client.send("POST", "/txn", Some(b"x"), TIMEOUT_S).await;
         assert_eq!(first.map(|r| r.status), Ok(200));
         let second = client.send("POST", "/txn", Some(b"x"), TIMEOUT_S).await;
@@ -127,18 +127,18 @@
 /// the other controller has closed them.
 #[test]
 fn a_burst_to_a_peer_uses_no_connection_that_was_closed_for_being_idle() {
-    run(|host| async move {
-        let (listening, own) = (host.clone(), host.clone());
+    run(|runtime| async move {
+        let (server_runtime, client_runtime) = (runtime.clone(), runtime.clone());
         tokio::spawn(async move {
-            let listener = listening.bind(server_address()).await.unwrap();
+            let listener = server_runtime.bind(server_address()).await.unwrap();
             let handler = |_: PeerRequest| async {
                 sleep(PEER_REPLY_TIME).await;
                 PeerReply::TaskCounts { counts: Vec::new() }
             };
-            peer::serve(listening, listener, Arc::new(handler)).await;
+            peer::serve(server_runtime, listener, Arc::new(handler)).await;
         });
         sleep(CONNECT).await;
-        let peer = PeerClient::new(&own, "stallion-1", server_address());
+        let peer = PeerClient::new(&client_runtime, "stallion-1", server_address());
         send_two_requests_at_once(&peer).await;
         for _ in 0..IDLE_FOR_S {
             peer.ask(&counts_request(), TIMEOUT_S).await.unwrap();
