--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -1,19 +1,19 @@
-//! Jobs that depend on others. The graph is in `cherrywood_dependencies`; this module connects
-//! it with the queue, with the ends of jobs that the state service tells, and with the
-//! transactions that cancel the dependents of a cancelled job. Each leader derives all of it
-//! from what is committed, so nothing of it is stored.
+//! Jobs that depend on others. The graph is in `cherrywood_dependencies`; this module connects it
+//! with the queue, with the ends of jobs as the key-value store records them, and with the
+//! transactions that cancel the dependents of a cancelled job. Each leader derives all of this from
+//! committed state, so none of it is stored.
 
 use super::*;
 use cherrywood_dependencies::DependencyGraph;
 use cherrywood_dependencies::{Deadline, Effects, JobEnd, JobRequirements, Readiness, ReadyJob};
 
-/// Which jobs depend on which, and what follows from it.
+/// The dependencies between jobs, and the pending consequences of ended jobs.
 #[derive(Debug)]
 pub(super) struct Dependencies {
     graph: DependencyGraph<Priority>,
     /// When effective priorities were last derived, s.
     priorities_derived_at: f64,
-    /// Live jobs that can never run, and since when that is known, s: to be cancelled.
+    /// Live jobs that can never run and are to be cancelled, and since when that is known, s.
     cascading_cancellations: BTreeMap<String, f64>,
 }
 
@@ -28,20 +28,20 @@
 }
 
 impl Dependencies {
-    /// A job is no longer live: it awaits no dependencies and needs no cancellation.
+    /// Removes a job that is no longer live: it awaits no dependencies and needs no cancellation.
     pub(super) fn remove(&mut self, id: &str) {
         self.graph.mark_not_live(id);
         self.cascading_cancellations.remove(id);
     }
 
-    /// When the last of the jobs that it needs was done, s; None if nobody knows.
+    /// When the last of the jobs that it depends on was done, s; `None` if unknown.
     pub(super) fn ready_since(&self, id: &str) -> Option<f64> {
         self.graph.ready_since(id)
     }
 }
 
 impl Leader {
-    /// Takes a job into the graph; true if it may start now.
+    /// Adds a job to the graph; returns whether it may start now.
     pub(super) fn add_to_dependencies(&mut self, spec: &Submission, due_at: Option<f64>) -> bool {
         let requirements = JobRequirements {
             priority: spec.priority,
@@ -68,8 +68,9 @@
         self.dependencies.graph.unresolved().cloned().collect()
     }
 
-    /// The state service says how a job ended. None, or a state that is not final, changes
-    /// nothing: the job stays among those to look up. `at_ms` is the time of day at its end.
+    /// Handles the end of a job as the key-value store records it. `None`, or a state that is not
+    /// final, changes nothing: the job stays among those to look up. `at_ms` is the time of day at
+    /// its end.
     pub fn job_ended(&mut self, id: &str, state: Option<JobState>, at_ms: Option<u64>, now: f64) {
         let end = match state {
             Some(JobState::Done) => JobEnd::Done,
@@ -90,7 +91,7 @@
             self.release_job(&id, since_s.unwrap_or(now), now);
         }
         for id in effects.unsatisfiable {
-            crate::trace_job!(id, "can never run: a job that it needs is cancelled");
+            crate::trace_job!(id, "can never run: a dependency is cancelled");
             self.dependencies
                 .cascading_cancellations
                 .entry(id)
@@ -98,31 +99,40 @@
         }
     }
 
-    /// Every job that it needs is done: its tasks are queued from now on like any others.
+    /// Releases a job once every job that it depends on is done: from now on its tasks are queued
+    /// like any others.
     fn release_job(&mut self, id: &str, since: f64, now: f64) {
-        let Some(no) = self.jobs.index_of(id) else {
+        let Some(job_index) = self.jobs.index_of(id) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&no).filter(|j| j.awaiting_dependencies) else {
+        let Some(job) = self
+            .jobs
+            .get_mut(&job_index)
+            .filter(|j| j.awaiting_dependencies)
+        else {
             return;
         };
         job.awaiting_dependencies = false;
         job.ready_at = since.max(job.ready_at).min(now);
-        crate::trace_job!(id, "is ready: all that it needs is done");
-        let delayed = self.delayed_tasks.iter().filter(|d| d.1 == no).map(|d| d.2);
-        let away: HashSet<u32> = job
+        crate::trace_job!(id, "ready: all dependencies are done");
+        let delayed = self
+            .delayed_tasks
+            .iter()
+            .filter(|d| d.1 == job_index)
+            .map(|d| d.2);
+        let excluded: HashSet<u32> = job
             .placements_by_task
             .keys()
             .copied()
             .chain(delayed)
             .collect();
-        self.enqueue_tasks(no, &away, now);
-        self.count_as_admitted(no, true, now);
+        self.enqueue_tasks(job_index, &excluded, now);
+        self.count_as_admitted(job_index, true, now);
     }
 
-    /// Derives the effective priority and latest start of each job from the jobs that depend on
-    /// it: when the graph changed, and else every `limits::PIPELINE_DEMAND_INTERVAL_S` for what
-    /// was learned of run times meanwhile.
+    /// Derives the effective priority and latest start of each job from the jobs that depend on it:
+    /// whenever the graph has changed, and otherwise every `limits::PIPELINE_DEMAND_INTERVAL_S`, to
+    /// account for run times learned meanwhile.
     pub(super) fn derive_priorities(&mut self, now: f64) {
         let changed = self.dependencies.graph.take_changed();
         if !changed
@@ -141,17 +151,17 @@
         let derived = self.dependencies.graph.effective_requirements(run_s);
         let mut raised = Vec::new();
         for (id, d) in derived {
-            let Some(no) = self.jobs.index_of(id) else {
+            let Some(job_index) = self.jobs.index_of(id) else {
                 continue;
             };
-            let Some(job) = self.jobs.get_mut(&no) else {
+            let Some(job) = self.jobs.get_mut(&job_index) else {
                 continue;
             };
             job.latest_start = d.latest_start;
             job.effective_priority = d.priority;
             if job.best_effort && d.priority != Priority::Low {
                 job.best_effort = false;
-                raised.push(no);
+                raised.push(job_index);
             }
         }
         if raised.is_empty() {
@@ -159,11 +169,13 @@
         }
         // Their placements must not be preempted any more.
         for m in self.machines.values_mut() {
-            let own = |p: &Placement| p.best_effort && p.job.is_some_and(|no| raised.contains(&no));
-            if m.placements.sums().has_best_effort && m.placements.iter().any(own) {
+            let is_raised = |p: &Placement| {
+                p.best_effort && p.job.is_some_and(|job_index| raised.contains(&job_index))
+            };
+            if m.placements.sums().has_best_effort && m.placements.iter().any(is_raised) {
                 m.placements
                     .iter_mut()
-                    .filter(|p| own(p))
+                    .filter(|p| is_raised(p))
                     .for_each(|p| p.best_effort = false);
             }
         }
@@ -175,7 +187,7 @@
     pub(super) fn add_cascading_cancellations(
         &self,
         batch: &mut JobBatch,
-        ops: usize,
+        max_changes: usize,
         at_ms: Option<u64>,
     ) {
         for id in self.dependencies.cascading_cancellations.keys() {
@@ -183,7 +195,7 @@
             let Some(job) = job.filter(|_| !self.keys_to_reread.contains(&keys::job(id))) else {
                 continue;
             };
-            if batch.txn.changes.len() + 2 > ops {
+            if batch.txn.changes.len() + 2 > max_changes {
                 break;
             }
             batch.txn.guards.extend([
@@ -213,18 +225,19 @@
         }
     }
 
-    /// Has the cancellation of a job been pending for so long that the job may not be shown as
-    /// queued any more? It may take long where many others are cancelled before it.
+    /// Whether the cancellation of a job has been pending for so long that the job may not be shown
+    /// as queued any more. It may take long if many other jobs are cancelled before it.
     fn is_overdue_for_cancellation(&self, id: &str, now: f64) -> bool {
-        let patience = self.settings.workers.cancel_s * limits::CASCADING_CANCELLATION_QUEUED_SHARE;
+        let threshold_s =
+            self.settings.workers.cancel_s * limits::CASCADING_CANCELLATION_QUEUED_SHARE;
         self.dependencies
             .cascading_cancellations
             .get(id)
-            .is_some_and(|at| now - at > patience)
+            .is_some_and(|pending_since| now - pending_since > threshold_s)
     }
 
-    /// (done, running) of a live job, for display; [`COUNTS_WITHHELD`] if users may be told
-    /// nothing of it until its final state is written.
+    /// The counts of done and running tasks of a live job, for display; [`COUNTS_WITHHELD`] if
+    /// users may be told nothing of it until its final state is written.
     pub fn task_counts(&self, id: &str, now: f64) -> Option<(u32, u32)> {
         if self.is_overdue_for_cancellation(id, now) {
             return Some(COUNTS_WITHHELD);
@@ -234,5 +247,5 @@
     }
 }
 
-/// In place of the counts of a job whose cancellation is overdue: users are not told any.
+/// Returned in place of the counts of a job whose cancellation is overdue: users are not told any.
 pub const COUNTS_WITHHELD: (u32, u32) = (u32::MAX, u32::MAX);
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -65,7 +65,7 @@
     /// Refills the budget for a request that got a response.
     pub fn record_response(&self) {
         let mut left = lock(&self.0);
-        *left = (*left + limits::RETRY_BUDGET_PER_ANSWER).min(limits::RETRY_BUDGET_MAX);
+        *left = (*left + limits::RETRY_BUDGET_PER_RESPONSE).min(limits::RETRY_BUDGET_MAX);
     }
 
     /// Spends one repetition; returns false if the budget is too low for one.
--- a/crates/node/tests/common/store_faults.rs
+++ b/crates/node/tests/common/store_faults.rs
@@ -1,5 +1,5 @@
-//! A state service on loopback which can be told to refuse what is asked of it, to leave it
-//! without an answer, or to carry it out and lose its answer.
+//! A key-value store on loopback with fault injection: it can refuse requests, leave them without
+//! a response, or execute them and lose the response.
 
 use cherrywood_net::server::{self, Request, Response};
 use cherrywood_net::{Listener, Runtime};
@@ -9,10 +9,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Which requests to the state service meet a fault.
+/// Pattern of the requests to the key-value store that meet a fault.
 struct RequestPattern {
     path_prefix: String,
-    /// Empty for any.
+    /// Text that the body must contain; empty if any body matches.
     body_contains: String,
 }
 
@@ -25,28 +25,28 @@
     }
 }
 
-/// Faults of the state service, set by a test while it serves.
+/// Faults of the key-value store, set by a test while the store serves.
 #[derive(Default)]
 pub struct StoreFaults {
     refused: Mutex<Vec<RequestPattern>>,
     hanging: Mutex<Vec<RequestPattern>>,
-    reply_lost: Mutex<Vec<RequestPattern>>,
-    /// Requests that came, carried out or not.
+    response_lost: Mutex<Vec<RequestPattern>>,
+    /// Number of requests that arrived, whether executed or not.
     pub requests: AtomicUsize,
-    /// The paths of all requests.
+    /// Paths of all requests.
     paths: Mutex<Vec<String>>,
-    /// Requests that are slow, refused, or carried out without an answer, of a hundred.
+    /// Percentages of requests that are slow, refused, or executed without a response.
     shares: Mutex<FaultShares>,
 }
 
-/// Of a hundred requests, how many are drawn for each fault.
+/// Percentage of requests drawn for each fault.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FaultShares {
-    /// Answered up to 0.2 s late.
+    /// Requests whose response is delayed by up to 0.2 s.
     pub slow: u64,
-    /// Answered 503.
+    /// Requests that get 503.
     pub refused: u64,
-    /// Carried out, and never answered.
+    /// Requests that are executed and get no response in time.
     pub lost: u64,
 }
 
@@ -63,39 +63,39 @@
         list.lock().unwrap().iter().any(|p| p.matches(request))
     }
 
-    /// Requests to these paths are answered 503.
+    /// Refuses requests to these paths with 503.
     pub fn refuse(&self, paths: &[&str]) {
         Self::set(&self.refused, paths);
     }
 
-    /// Requests to these paths get no answer until they are let go.
+    /// Leaves requests to these paths without a response until they are removed from the list.
     pub fn hang(&self, paths: &[&str]) {
         Self::set(&self.hanging, paths);
     }
 
-    /// Transactions whose body contains this text are carried out; the answer is lost.
-    pub fn lose_answers_to(&self, text: Option<&str>) {
+    /// Executes transactions whose body contains this text, and loses their responses.
+    pub fn lose_responses_to(&self, text: Option<&str>) {
         let pattern = text.map(|text| RequestPattern {
             path_prefix: "/txn".to_string(),
             body_contains: text.to_string(),
         });
-        *self.reply_lost.lock().unwrap() = pattern.into_iter().collect();
+        *self.response_lost.lock().unwrap() = pattern.into_iter().collect();
     }
 
-    /// From now on requests drawn at random meet faults.
+    /// Injects faults into randomly drawn requests from now on.
     pub fn draw_faults(&self, shares: FaultShares) {
         *self.shares.lock().unwrap() = shares;
     }
 
-    /// Requests so far, carried out or not.
+    /// Number of requests so far, whether executed or not.
     pub fn count(&self) -> usize {
         self.requests.load(Ordering::Relaxed)
     }
 
-    /// How many came whose path begins like this.
-    pub fn count_of(&self, path: &str) -> usize {
+    /// Number of requests so far whose path begins with `path_prefix`.
+    pub fn count_of(&self, path_prefix: &str) -> usize {
         let paths = self.paths.lock().unwrap();
-        paths.iter().filter(|p| p.starts_with(path)).count()
+        paths.iter().filter(|p| p.starts_with(path_prefix)).count()
     }
 }
 
@@ -103,13 +103,13 @@
     tokio::time::sleep(Duration::from_millis(10)).await;
 }
 
-/// Longer than anybody waits for the state service.
-async fn lost_reply() -> Response {
+/// Responds later than any controller waits for the key-value store.
+async fn lost_response() -> Response {
     tokio::time::sleep(Duration::from_secs(3)).await;
     Response::busy()
 }
 
-/// The state service behind its faults.
+/// The key-value store with its injected faults.
 struct FaultyStore {
     host: Runtime,
     service: Arc<Mutex<StoreService>>,
@@ -117,7 +117,7 @@
 }
 
 impl FaultyStore {
-    async fn answer(&self, request: &Request) -> Response {
+    async fn respond(&self, request: &Request) -> Response {
         let faults = &self.faults;
         faults.requests.fetch_add(1, Ordering::Relaxed);
         faults.paths.lock().unwrap().push(request.path.clone());
@@ -138,14 +138,14 @@
             ServiceReply::Respond(response) => response,
             ServiceReply::HoldWatch(watch) => return self.hold(request, &watch).await,
         };
-        let is_lost = StoreFaults::any_matches(&faults.reply_lost, request);
+        let is_lost = StoreFaults::any_matches(&faults.response_lost, request);
         match is_lost || self.draw(shares.lost) {
-            true => lost_reply().await,
+            true => lost_response().await,
             false => response,
         }
     }
 
-    /// Answers a watch once something changed or its time is over.
+    /// Responds to a watch once a watched record has changed or the hold time is over.
     async fn hold(&self, request: &Request, watch: &HeldWatch) -> Response {
         let until = self.host.now() + watch.hold_ms as f64 / 1000.0;
         loop {
@@ -158,13 +158,13 @@
         }
     }
 
-    /// Is this request among so many of a hundred?
-    fn draw(&self, share: u64) -> bool {
-        self.host.random() % 100 < share
+    /// Draws whether a request meets a fault of this percentage.
+    fn draw(&self, percentage: u64) -> bool {
+        self.host.random() % 100 < percentage
     }
 }
 
-/// Serves the state service, with these faults.
+/// Serves the key-value store with these faults.
 pub fn serve_store(
     host: &Runtime,
     listener: Listener,
@@ -176,10 +176,10 @@
         service: service.clone(),
         faults: faults.clone(),
     });
-    let answer = move |request: Request, _| {
+    let on_request = move |request: Request, _| {
         let store = store.clone();
-        async move { store.answer(&request).await }
+        async move { store.respond(&request).await }
     };
-    let serve = server::serve(host.clone(), listener, 1000, Arc::new(answer));
+    let serve = server::serve(host.clone(), listener, 1000, Arc::new(on_request));
     tokio::spawn(serve);
 }
