--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -118,7 +118,7 @@
             throughput: self.throughput(),
             at_capacity: self.at_capacity,
             classes: classes.take(limits::TENANT_CLASSES_SAVED_MAX).collect(),
-            parts: None,
+            chunks: None,
         }
     }
 
--- a/crates/net/src/peer.rs
+++ b/crates/net/src/peer.rs
@@ -63,7 +63,7 @@
     ///
     /// If the future is dropped, the request may have been sent and may be executed. Its
     /// connection is closed, so its reply can't be taken for that of another request.
-    pub async fn ask(&self, request: &PeerRequest, timeout_s: f64) -> Result<PeerReply, NetError> {
+    pub async fn send(&self, request: &PeerRequest, timeout_s: f64) -> Result<PeerReply, NetError> {
         let call = async {
             let mut stream = match self.idle.take(self.runtime.now()) {
                 Some(stream) => stream,
--- a/crates/net/src/rate_limiter.rs
+++ b/crates/net/src/rate_limiter.rs
@@ -12,7 +12,7 @@
     Critical,
     /// Status queries of users. Many of them share a read, and they are delayed before
     /// placements are.
-    Poll,
+    StatusQuery,
     /// Placements.
     Placement,
     /// Progress of jobs.
@@ -26,7 +26,7 @@
     fn reserved_share(self) -> f64 {
         match self {
             RequestPriority::Critical => 0.0,
-            RequestPriority::Poll => 0.3,
+            RequestPriority::StatusQuery => 0.3,
             RequestPriority::Placement => 0.15,
             RequestPriority::Progress => 0.35,
             RequestPriority::Snapshot => 0.6,
--- a/crates/net/tests/idle_connections.rs
+++ b/crates/net/tests/idle_connections.rs
@@ -117,8 +117,10 @@
 
 async fn send_two_requests_at_once(peer: &PeerClient) {
     let request = counts_request();
-    let (first, second) =
-        tokio::join!(peer.ask(&request, TIMEOUT_S), peer.ask(&request, TIMEOUT_S));
+    let (first, second) = tokio::join!(
+        peer.send(&request, TIMEOUT_S),
+        peer.send(&request, TIMEOUT_S)
+    );
     assert!(first.is_ok(), "{first:?}");
     assert!(second.is_ok(), "{second:?}");
 }
@@ -141,7 +143,7 @@
         let peer = PeerClient::new(&client_runtime, "stallion-1", server_address());
         send_two_requests_at_once(&peer).await;
         for _ in 0..IDLE_FOR_S {
-            peer.ask(&counts_request(), TIMEOUT_S).await.unwrap();
+            peer.send(&counts_request(), TIMEOUT_S).await.unwrap();
             sleep(Duration::from_secs(1)).await;
         }
         send_two_requests_at_once(&peer).await;
--- a/crates/net/tests/rate_limiter.rs
+++ b/crates/net/tests/rate_limiter.rs
@@ -48,7 +48,7 @@
     for tick in 0..300 {
         let now = f64::from(tick) * 0.01;
         while limiter
-            .try_acquire(RequestPriority::Poll, 1.0, now)
+            .try_acquire(RequestPriority::StatusQuery, 1.0, now)
             .is_none()
         {}
         if tick % 50 == 49 {
--- a/crates/node/src/background/placement_commits.rs
+++ b/crates/node/src/background/placement_commits.rs
@@ -113,7 +113,7 @@
         commands: commands.to_vec(),
     };
     match peer
-        .ask(&request, limits::PEER_DIRECT_COMMANDS_TIMEOUT_S)
+        .send(&request, limits::PEER_DIRECT_COMMANDS_TIMEOUT_S)
         .await
     {
         Ok(PeerReply::DirectCommands { executed }) => executed,
--- a/crates/node/src/background/status_queries.rs
+++ b/crates/node/src/background/status_queries.rs
@@ -86,7 +86,7 @@
     };
     let compare = || {
         let keys = ids.iter().flat_map(|id| [keys::job(id), keys::ended(id)]);
-        node.store.existing_keys(keys, RequestPriority::Poll)
+        node.store.existing_keys(keys, RequestPriority::StatusQuery)
     };
     let keys = send_hedged(&node.host, &node.store.retries, policy, compare).await?;
     Ok(keys.into_iter().collect())
@@ -100,7 +100,7 @@
 }
 
 async fn respond_ended(node: Arc<Node>, id: String, waiters: Vec<oneshot::Sender<QueryResult>>) {
-    let found = read_final_state(&node, &id, RequestPriority::Poll).await;
+    let found = read_final_state(&node, &id, RequestPriority::StatusQuery).await;
     respond_to_all(waiters, || match &found {
         Ok(Some(value)) => QueryResult::Ended(value.clone()),
         _ => QueryResult::Unavailable,
--- a/crates/node/src/heartbeats.rs
+++ b/crates/node/src/heartbeats.rs
@@ -153,13 +153,13 @@
         let from = self.label().to_string();
         let request = PeerRequest::Heartbeats { from, heartbeats };
         let reply = leader
-            .ask(&request, limits::HEARTBEAT_FORWARD_TIMEOUT_S)
+            .send(&request, limits::HEARTBEAT_FORWARD_TIMEOUT_S)
             .await;
-        let Ok(PeerReply::Heartbeats { answers }) = reply else {
+        let Ok(PeerReply::Heartbeats { responses }) = reply else {
             return;
         };
-        for (queued, answer) in frame.into_iter().zip(answers) {
-            let response = answer.map(|(fencing_token, commands)| HeartbeatResponse {
+        for (queued, response) in frame.into_iter().zip(responses) {
+            let response = response.map(|(fencing_token, commands)| HeartbeatResponse {
                 fencing_token,
                 commands,
             });
--- a/crates/node/src/peer_requests.rs
+++ b/crates/node/src/peer_requests.rs
@@ -31,7 +31,7 @@
                 // Heartbeats whose responses do not fit into the frame are ignored: their workers
                 // soon send the next ones.
                 let mut bytes = 0;
-                let answers = heartbeats.iter().map(|(heartbeat, run_times)| {
+                let responses = heartbeats.iter().map(|(heartbeat, run_times)| {
                     if bytes > limits::PEER_FRAME_RESPONSES_BYTES_MAX {
                         return None;
                     }
@@ -40,7 +40,7 @@
                     Some((response.fencing_token, response.commands))
                 });
                 PeerReply::Heartbeats {
-                    answers: answers.collect(),
+                    responses: responses.collect(),
                 }
             }
             PeerRequest::DirectCommands { commands } => {
@@ -108,7 +108,7 @@
             refused: refusals.refused,
         };
         let reply = peer
-            .ask(&request, limits::HEARTBEAT_FORWARD_TIMEOUT_S)
+            .send(&request, limits::HEARTBEAT_FORWARD_TIMEOUT_S)
             .await;
         let Ok(PeerReply::Hello {
             from,
--- a/crates/node/src/task_counts.rs
+++ b/crates/node/src/task_counts.rs
@@ -67,7 +67,7 @@
                 let request = PeerRequest::TaskCounts {
                     jobs: jobs.to_vec(),
                 };
-                match leader.ask(&request, limits::TASK_COUNTS_TIMEOUT_S).await {
+                match leader.send(&request, limits::TASK_COUNTS_TIMEOUT_S).await {
                     Ok(PeerReply::TaskCounts { counts }) if counts.len() == jobs.len() => {
                         from_frame(counts)
                     }
--- a/crates/node/tests/stalled_process.rs
+++ b/crates/node/tests/stalled_process.rs
@@ -78,7 +78,7 @@
         heartbeats: vec![(heartbeat("vm-1", sequence), Vec::new())],
     };
     let is_accepted = |reply| match reply {
-        PeerReply::Heartbeats { answers } => answers[0].is_some(),
+        PeerReply::Heartbeats { responses } => responses[0].is_some(),
         other => panic!("{other:?}"),
     };
     let hello = || PeerRequest::Hello {
--- a/crates/wire/src/admission.rs
+++ b/crates/wire/src/admission.rs
@@ -154,8 +154,8 @@
     pub classes: Vec<ClassCounts>,
     /// The chunks that hold the value, if it doesn't fit one record; all other fields are then
     /// empty.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub parts: Option<crate::chunks::ChunkSet>,
+    #[serde(rename = "parts", default, skip_serializing_if = "Option::is_none")]
+    pub chunks: Option<crate::chunks::ChunkSet>,
 }
 
 /// Recent counts of jobs of a class, with older jobs weighted less. Stored in records as a row.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -66,7 +66,7 @@
     /// commands of its response; None if the worker must get no response.
     Heartbeats {
         /// The responses, in the order of the heartbeats.
-        answers: Vec<Option<(u64, Vec<Command>)>>,
+        responses: Vec<Option<(u64, Vec<Command>)>>,
     },
     /// The reply to [`PeerRequest::DirectCommands`]: for each worker whether its commands were
     /// executed; None if that is unknown.
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -328,12 +328,12 @@
 
 impl ChunkedRecord for AdmissionValue {
     fn chunk_set(&self) -> Option<ChunkSet> {
-        self.parts
+        self.chunks
     }
 
     fn in_chunks(chunks: ChunkSet) -> Self {
         AdmissionValue {
-            parts: Some(chunks),
+            chunks: Some(chunks),
             ..AdmissionValue::default()
         }
     }
--- a/crates/wire/tests/frozen.rs
+++ b/crates/wire/tests/frozen.rs
@@ -174,7 +174,7 @@
     frame(
         "reply-reports",
         &PeerReply::Heartbeats {
-            answers: vec![Some((41, commands())), None, Some((42, Vec::new()))],
+            responses: vec![Some((41, commands())), None, Some((42, Vec::new()))],
         },
     );
     frame(
@@ -296,7 +296,7 @@
             admitted: 8.5,
             done: 7.5,
         }],
-        parts: None,
+        chunks: None,
     }
 }
 
