--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -50,7 +50,7 @@
 mod transactions;
 mod worker_restarts;
 
-pub use admitting::work_by_table;
+pub use admitting::expected_work_from_table;
 pub use dependencies::COUNTS_WITHHELD;
 pub use direct_commands::{AddressedCommands, CommandOutcome};
 pub use job_batch::JobBatch;
@@ -154,7 +154,7 @@
         let admission =
             AdmissionController::new(term, recovered.admission.clone().unwrap_or_default(), now);
         let at_capacity = admission.at_capacity();
-        let store_limits = settings.state.kept();
+        let store_limits = settings.state.conservative_limits();
         let team_count = settings.teams.len();
         let mut leader = Leader {
             store_limits,
--- a/crates/control/tests/controller_failovers.rs
+++ b/crates/control/tests/controller_failovers.rs
@@ -223,7 +223,9 @@
                 .store
                 .elect_with_overlap(settings(), self.term, overlap, now);
             let controller = &mut self.controllers[n];
-            controller.leadership.acquired(lease, now, &self.timing);
+            controller
+                .leadership
+                .leader_key_acquired(lease, now, &self.timing);
             controller.leadership.view_completed(lease, now);
             controller.leader = Some(leader);
             self.record("leader elected");
@@ -248,7 +250,7 @@
                 controller.leadership.lease_renewed(lease, now, &timing);
             }
             _ => {
-                controller.leadership.lost();
+                controller.leadership.leader_key_lost();
                 controller.leader = None;
                 return;
             }
@@ -256,7 +258,7 @@
         if controller.leadership.renewed_without_view_s(now)
             > cherrywood_limits::RENEW_WITHOUT_VIEW_MAX_S
         {
-            controller.leadership.lost();
+            controller.leadership.leader_key_lost();
             controller.leader = None;
             self.key = None;
             self.record("leader without a view gives up its lease");
--- a/crates/node/src/background/leader_election.rs
+++ b/crates/node/src/background/leader_election.rs
@@ -82,7 +82,7 @@
 async fn run_for_leader(node: &Arc<Node>) -> Result<CampaignResult, NetError> {
     let sent = node.now();
     let lease = node.store.grant_lease(node.timing.leader_lease_s).await?;
-    let (term, term_revision) = match node.store.get::<TermRecord>(keys::EPOCH).await? {
+    let (term, term_revision) = match node.store.get::<TermRecord>(keys::LAST_TERM).await? {
         Some(item) => (item.value.last_term + 1, item.revision),
         None => (1, 0),
     };
@@ -129,7 +129,10 @@
         revision,
     };
     Txn {
-        guards: vec![guard(keys::LEADER, 0), guard(keys::EPOCH, term_revision)],
+        guards: vec![
+            guard(keys::LEADER, 0),
+            guard(keys::LAST_TERM, term_revision),
+        ],
         changes: vec![
             Change::Put {
                 key: keys::LEADER.into(),
@@ -137,7 +140,7 @@
                 lease: Some(lease),
             },
             Change::Put {
-                key: keys::EPOCH.into(),
+                key: keys::LAST_TERM.into(),
                 value: StoredRecord::Term(term),
                 lease: None,
             },
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -42,7 +42,7 @@
             .deployment
             .cluster
             .state;
-        let k = k.kept();
+        let k = k.conservative_limits();
         (k.rps, k.write_rps, k.value_bytes, k.txn_changes)
     };
     assert_eq!(kept(""), (200.0, 80.0, 32 * 1024, 48));
