--- a/crates/emulator/src/balancer.rs
+++ b/crates/emulator/src/balancer.rs
@@ -1,42 +1,43 @@
-//! The load balancer's published rules. A state machine without I/O.
+//! The load balancer, written from its published rules. A state machine without I/O.
 
 use std::collections::VecDeque;
 
-/// s between two probes, and that one may take.
+/// Seconds between two probes, and the time-out of a probe, s.
 pub const PROBE_EVERY_S: f64 = 1.0;
 pub const PROBE_WAIT_S: f64 = 1.0;
-/// s that a node may take to accept a connection, and nodes tried for one.
+/// Seconds that a controller may take to accept a connection, and controllers tried for one
+/// connection.
 pub const ACCEPT_WAIT_S: f64 = 0.5;
 pub const TRIES: usize = 3;
-/// Connections that a node fails in a row before it is skipped, and s.
+/// Consecutive failed connections after which a controller is skipped, and for how long, s.
 const SKIP_AFTER: u32 = 3;
 const SKIP_S: f64 = 3.0;
-/// Probes looked back on, and failures among them that make a node unhealthy;
-/// so many in a row do as well.
+/// Most recent probes considered, the failures among them that make a controller unhealthy,
+/// and the consecutive failures that do so as well.
 const LAST: usize = 6;
 const FAILURES: usize = 3;
 const FAILURES_ROW: usize = 2;
-/// Successes in a row that make it healthy again.
+/// Consecutive successes that make a controller healthy again.
 const SUCCESSES_ROW: usize = 2;
-/// s of pause after a removal, doubled with every further one within so many
-/// seconds, up to a most.
+/// Pause after a removal, s, which doubles with each further removal within
+/// `REMOVALS_WITHIN_S`, up to `PAUSE_MOST_S`.
 const PAUSE_S: f64 = 3.0;
 const PAUSE_MOST_S: f64 = 60.0;
 const REMOVALS_WITHIN_S: f64 = 120.0;
-/// s in which a healthy node gets its share of new connections.
+/// Seconds over which the share of new connections of a newly healthy controller ramps up.
 const RAMP_S: f64 = 10.0;
-/// s after which the connections of an unhealthy node are reset.
+/// Seconds after which the connections of an unhealthy controller are reset.
 pub const RESET_AFTER_S: f64 = 5.0;
 
 #[derive(Debug, Clone, Default)]
 struct View {
     healthy: bool,
     ever: bool,
-    /// The newest last.
+    /// Results of the last probes, the newest last.
     probes: VecDeque<bool>,
-    /// When it became healthy, or unhealthy.
+    /// Time at which the controller last became healthy or unhealthy.
     since: f64,
-    /// When it was removed, within the last two minutes.
+    /// Times of removals within the last two minutes.
     removals: Vec<f64>,
     back_at: f64,
     open: u32,
@@ -61,7 +62,7 @@
         self.nodes[node].healthy
     }
 
-    /// A probe of `GET /healthz` was answered with 200 in time, or was not.
+    /// Records whether a probe of `GET /healthz` was answered with 200 in time.
     pub fn probed(&mut self, node: usize, ok: bool, now: f64) {
         let v = &mut self.nodes[node];
         v.probes.push_back(ok);
@@ -83,14 +84,14 @@
                 v.back_at = now + pause.min(PAUSE_MOST_S);
             }
         } else if !v.ever && ok || last(SUCCESSES_ROW, true) && now >= v.back_at {
-            // Old failures must not remove it at once.
+            // Failures from before must not remove the controller again at once.
             v.probes.clear();
             (v.healthy, v.ever, v.since) = (true, true, now);
         }
     }
 
-    /// Has it been unhealthy for so long that its connections are reset now?
-    /// True once for each time.
+    /// Whether a controller has been unhealthy for so long that its connections are reset
+    /// now. Returns true once for each period of being unhealthy.
     pub fn resets(&mut self, node: usize, now: f64) -> bool {
         let v = &mut self.nodes[node];
         let due = v.ever && !v.healthy && !v.reset && now - v.since >= RESET_AFTER_S;
@@ -98,7 +99,7 @@
         due
     }
 
-    /// The node for a new connection, besides those tried already.
+    /// Chooses the controller for a new connection, other than those already tried.
     pub fn choose(&self, tried: &[usize], chance: f64, now: f64) -> Option<usize> {
         let load = |v: &View| {
             let ramp = ((now - v.since) / RAMP_S).clamp(0.1, 1.0);
@@ -181,7 +182,7 @@
         assert_eq!(back(&mut b, 8.0), 5, "6 s");
         probes(&mut b, 14.0, "--");
         assert_eq!(back(&mut b, 16.0), 11, "12 s");
-        // Two minutes later it is the first again.
+        // Two minutes later the pause is that of a first removal again.
         probes(&mut b, 300.0, "--");
         assert_eq!(back(&mut b, 302.0), 2);
     }
--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud: rents machines by the second, boots them, lists them late, takes
-//! spot machines back.
+//! The emulated cloud: rents machines by the second, boots them, lists them with a lag, and
+//! reclaims spot machines.
 
 use crate::fabric::{Role, lock};
 use crate::machine::Traits;
@@ -27,38 +27,38 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Machines in one rental, names in one deletion, machines in one page.
+/// Most machines in one rental, names in one deletion, and machines in one page.
 const RENT_MOST: u32 = 50;
 const DELETE_MOST: usize = 100;
 const PAGE_MOST: usize = 500;
-/// s worth of the rate that may come at once.
+/// Burst of requests, in seconds of the request rate.
 const BURST_S: f64 = 2.0;
-/// A machine that is deleted costs at least so many s.
+/// Least time that is charged for a deleted machine, s.
 const LEAST_S: f64 = 60.0;
-/// Listed boot times that booting usually takes.
+/// Usual boot duration, in multiples of the listed boot time; and that of a late boot.
 const BOOT_USUAL: (f64, f64) = (0.6, 1.5);
 const BOOT_LATE: (f64, f64) = (2.0, 5.0);
-/// Share of machines that are up within so many s.
+/// Share of machines that boot at once, and the range of their boot duration, s.
 const BOOT_AT_ONCE: f64 = 0.02;
 const BOOT_AT_ONCE_S: (f64, f64) = (0.5, 2.0);
-/// Share by which image fetches of machines differ.
+/// Fraction by which the image fetch rates of machines differ.
 const FETCH_DIFFERS: f64 = 0.33;
-/// s for which a dead machine stays listed as running.
+/// Seconds for which a dead machine stays listed as running.
 const DEAD_LISTED_S: f64 = 30.0;
-/// Share of lists that are up to twice as old as usual.
+/// Share of list responses that are up to twice as old as usual.
 const LIST_OLD: f64 = 0.15;
-/// s between two moves of the spot prices.
+/// Seconds between two changes of the spot prices.
 const PRICE_EVERY_S: f64 = 30.0;
-/// Share by which a notice may be longer or shorter.
+/// Fraction by which a spot notice may be longer or shorter.
 const NOTICE_DIFFERS: f64 = 0.5;
-/// Connections of controllers.
+/// Most connections from controllers.
 const CONNECTIONS: usize = 10_000;
 
 struct Rented {
     kind: MachineType,
     zone: String,
     spot: bool,
-    /// s of the scenario; None while it isn't so.
+    /// Time of each transition, s of the scenario; `None` before it happens.
     rented: f64,
     up: Option<f64>,
     died: Option<f64>,
@@ -67,7 +67,7 @@
 }
 
 impl Rented {
-    /// Still charged and taking a place.
+    /// Whether the machine is still charged and occupies capacity.
     fn held(&self) -> bool {
         self.died.is_none() && self.gone.is_none()
     }
@@ -79,7 +79,7 @@
     machines: BTreeMap<String, Rented>,
     hires: BTreeMap<String, Vec<String>>,
     next: u64,
-    /// Spot prices of each type, as factors of the nominal one, by time.
+    /// Spot prices by machine type, as (time, factor of the nominal price) in order of time.
     prices: BTreeMap<String, Vec<(f64, f64)>>,
 }
 
@@ -169,7 +169,7 @@
         if !lock(&self.core).rate.try_take(1.0, self.host.now()) {
             return Response::empty(429);
         }
-        // Executed late: whoever asked may have given up.
+        // The request is executed late; the client may have given up by then.
         let late = |t: &Trouble| match t {
             Trouble::CloudLate(t) => Some((t.share, t.by_s)),
             _ => None,
@@ -369,7 +369,7 @@
         name
     }
 
-    /// Boots a machine in a time that is drawn, or in this one.
+    /// Boots a machine after `after_s` seconds, or after a drawn duration.
     fn boot(self: &Arc<Self>, name: &str, after_s: Option<f64>) {
         let drawn = self.boot_s(name);
         let Some(s) = after_s.or(drawn) else {
@@ -382,7 +382,7 @@
         });
     }
 
-    /// None: it never comes up.
+    /// Draws the boot duration of a machine, s; `None` if it never boots.
     fn boot_s(&self, name: &str) -> Option<f64> {
         let boots = |t: &Trouble| match t {
             Trouble::BootsLate(t) => Some((t.late, t.times, t.never, t.zone.clone())),
@@ -461,7 +461,8 @@
         }
     }
 
-    /// The cloud takes a spot machine back.
+    /// Reclaims a spot machine after a notice of about `notice_s` seconds, or at once if
+    /// that is 0.
     pub async fn reclaim(&self, name: &str, notice_s: f64) {
         let worker = self.worker(name);
         if notice_s > 0.0
@@ -482,7 +483,8 @@
         m.worker.clone()
     }
 
-    /// What it has cost until now; a machine that is deleted costs a minimum.
+    /// Returns the cost of a machine until `now`, for `least_s` seconds at least; `least_s`
+    /// is the minimum charge for deleted machines.
     fn cost(core: &Core, m: &Rented, now: f64, least_s: f64) -> f64 {
         let until = now.max(m.rented + least_s);
         let nominal = if m.spot {
@@ -504,7 +506,7 @@
         cost
     }
 
-    /// The machine and everything on it are gone.
+    /// Removes a machine with everything on it.
     fn take(&self, name: &str, why: &str) {
         let (worker, cost) = {
             let mut core = lock(&self.core);
@@ -539,7 +541,7 @@
         });
     }
 
-    /// The machine stops, with all that is on it; the cloud notices later.
+    /// Powers a machine off with everything on it; the list shows it as failed later.
     pub fn die(&self, name: &str) {
         let (worker, cost) = {
             let mut core = lock(&self.core);
@@ -560,7 +562,7 @@
         self.gone(name, "died", cost);
     }
 
-    /// Everything is returned at the end of the scenario.
+    /// Returns all machines at the end of the scenario.
     pub fn close(&self) {
         let names: Vec<String> = {
             let core = lock(&self.core);
@@ -572,9 +574,9 @@
         }
     }
 
-    // --- for troubles and those who watch ---
+    // --- for fault injection and observers ---
 
-    /// So many machines that are up, drawn from the seed.
+    /// Draws up to `count` machines that are up, from the seed.
     pub fn draw(
         &self,
         count: u32,
@@ -597,7 +599,8 @@
         drawn
     }
 
-    /// Of each zone and kind: booting, up, and tasks running and fetching.
+    /// Counts machines and tasks by zone, machine type and spot: booting, up, tasks running,
+    /// tasks fetching.
     pub fn fleet(&self) -> BTreeMap<(String, String, bool), [usize; 4]> {
         let core = lock(&self.core);
         let mut fleet: BTreeMap<_, [usize; 4]> = BTreeMap::new();
@@ -617,7 +620,7 @@
         fleet
     }
 
-    /// Money an hour, and all that was spent until now.
+    /// Returns the cost of an hour at present, and all that was spent until now.
     pub fn spending(&self) -> (f64, f64) {
         let core = lock(&self.core);
         let now = self.world.now_s();
--- a/crates/emulator/src/fabric.rs
+++ b/crates/emulator/src/fabric.rs
@@ -1,9 +1,9 @@
-//! The network between emulated hosts: streams in memory with delay, loss, and
-//! broken paths. A path that holds delivers what was sent meanwhile when it is
-//! whole again, in order, even if the sender has given up; one that resets ends
-//! its connections. A host without power is silent: nothing comes back from it.
+//! The simulated network between emulated hosts: in-memory streams with delay, loss, and
+//! broken paths. A path in hold mode queues what is sent and delivers it in order once the
+//! path is repaired, even if the sender has given up meanwhile; a path in reset mode ends
+//! its connections. A powered-off host is silent: nothing comes back from it.
 //!
-//! Virtual time moves in steps of a millisecond, as the runtime's timers do.
+//! Virtual time advances in steps of a millisecond, as the runtime's timers do.
 
 use cherrywood_net::runtime::{EmulatedListener, Listener, Stream};
 use cherrywood_scenario::Cut;
@@ -24,13 +24,13 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Bytes on their way in one direction before a writer must wait.
+/// Bytes in flight in one direction before a writer must wait.
 const WINDOW: usize = 1 << 20;
-/// s after which a lost packet, or a connection attempt, is sent again.
+/// Seconds after which a lost packet, or a connection attempt, is sent again.
 const RESEND_S: f64 = 0.2;
 const CONNECT_AGAIN_S: f64 = 1.0;
 
-/// What a host is for; paths are broken between roles, zones or single hosts.
+/// Purpose of a host; paths are broken between roles, zones or single hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     Node,
@@ -43,28 +43,28 @@
 #[derive(Debug, Clone)]
 struct Place {
     role: Role,
-    /// None: of the region, in no zone.
+    /// `None` for a host of the region, outside all zones.
     zone: Option<String>,
-    /// Without power: silent.
+    /// Powered off: the host sends nothing.
     dead: bool,
 }
 
-/// Hosts on one side of a broken path.
+/// The hosts on one side of a broken path.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Group {
     Hosts(Vec<IpAddr>),
     Role(Role),
     Zone(String),
-    /// Everything that is not in this zone.
+    /// Every host outside this zone.
     Outside(String),
     Everyone,
 }
 
-/// How a path is broken.
+/// The way in which a path is broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Break {
     Cut(Cut),
-    /// A packet filter: connections are refused, and those there reset.
+    /// A packet filter: new connections are refused, and existing ones reset.
     Refuse,
 }
 
@@ -82,11 +82,11 @@
     Held,
     Reset,
     Refused,
-    /// One end has no power.
+    /// One end is powered off.
     Silent,
 }
 
-/// How long packets take.
+/// Packet delay and loss.
 #[derive(Debug, Clone, Copy)]
 pub struct Delays {
     pub same_zone_ms: f64,
@@ -110,7 +110,7 @@
 #[derive(Debug)]
 pub struct Fabric {
     net: Mutex<Net>,
-    /// A path was broken or mended, or a host lost its power.
+    /// Notified when a path is broken or repaired, or a host is powered off.
     changed: Notify,
 }
 
@@ -122,7 +122,7 @@
 
 #[derive(Debug)]
 struct Segment {
-    /// None while its path holds it.
+    /// Arrival time; `None` while a broken path holds the segment.
     at: Option<Instant>,
     bytes: Vec<u8>,
     read: usize,
@@ -133,9 +133,9 @@
 struct Pipe {
     queue: VecDeque<Segment>,
     buffered: usize,
-    /// Nothing more comes behind the queue.
+    /// The sender has closed its side: no segment follows those in the queue.
     closed: bool,
-    /// Nobody reads any more.
+    /// The receiver has closed its side: incoming bytes are discarded.
     deaf: bool,
     last: Option<Instant>,
     reader: Option<Waker>,
@@ -144,7 +144,7 @@
 
 #[derive(Debug, Default)]
 struct Pipes {
-    /// From the end that connected, and to it.
+    /// The direction from the connecting end, and the one to it.
     way: [Pipe; 2],
     reset: bool,
     silent: bool,
@@ -202,7 +202,7 @@
         worst
     }
 
-    /// How long a packet takes, with resends.
+    /// Draws a packet's delay, retransmissions included.
     fn delay(&mut self, from: IpAddr, to: IpAddr) -> Duration {
         let zone = |ip: &IpAddr| self.hosts.get(ip).and_then(|p| p.zone.as_ref());
         let d = self.delays;
@@ -238,7 +238,7 @@
         })
     }
 
-    /// A host with power; one of the same address is replaced.
+    /// Adds a powered-on host; replaces one of the same address.
     pub fn join(&self, ip: IpAddr, role: Role, zone: Option<&str>) {
         let place = Place {
             role,
@@ -248,7 +248,7 @@
         lock(&self.net).hosts.insert(ip, place);
     }
 
-    /// The host loses its power: its connections fall silent, without an end.
+    /// Powers a host off: its connections become silent, without being closed.
     pub fn cut_power(&self, ip: IpAddr) {
         let conns = {
             let mut net = lock(&self.net);
@@ -272,7 +272,8 @@
         all.filter(|c| which(c)).collect()
     }
 
-    /// Breaks the paths between two groups, until [`Fabric::mend`].
+    /// Breaks the paths between two groups until [`Fabric::mend`] is called with the
+    /// returned id.
     pub fn cut(&self, a: Group, b: Group, how: Break) -> u64 {
         let (id, reset) = {
             let mut net = lock(&self.net);
@@ -297,7 +298,7 @@
         id
     }
 
-    /// Mends what was broken under this number; what was held arrives now.
+    /// Repairs the paths broken under this id; held segments arrive one delay later.
     pub fn mend(&self, id: u64) {
         {
             let mut net = lock(&self.net);
@@ -326,7 +327,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Users' connections to a host are reset by the load balancer.
+    /// Resets all connections between two hosts, as the load balancer does with users'
+    /// connections.
     pub fn reset_between(&self, a: IpAddr, b: IpAddr) {
         let conns = self.crossing(&mut lock(&self.net), |c| {
             c.ends.contains(&a) && c.ends.contains(&b)
@@ -352,7 +354,7 @@
         })))
     }
 
-    /// Connects, waits as long as the path is silent, or is refused.
+    /// Connects; waits while the path is held, reset or silent, and fails if it refuses.
     pub async fn connect(self: Arc<Self>, from: IpAddr, to: SocketAddr) -> io::Result<Stream> {
         loop {
             let changed = self.changed.notified();
@@ -361,8 +363,8 @@
                 Path::Whole => {}
                 Path::Refused => return self.refused(from, to).await,
                 Path::Held | Path::Reset | Path::Silent => {
-                    // A packet is sent again now and then; one that was
-                    // abandoned doesn't connect later.
+                    // The connection packet is retransmitted from time to time; an abandoned
+                    // attempt does not connect later.
                     changed.await;
                     sleep(Duration::from_secs_f64(CONNECT_AGAIN_S)).await;
                     continue;
@@ -381,8 +383,8 @@
         }
     }
 
-    /// The caller's end of a new connection, whose other end waits to be
-    /// accepted. None if the path broke meanwhile, an error if nobody listens.
+    /// Returns the caller's end of a new connection, whose other end waits to be accepted.
+    /// `None` if the path broke meanwhile, an error if nobody listens.
     fn establish(self: &Arc<Self>, from: IpAddr, to: SocketAddr) -> Result<Option<End>, ()> {
         let mut net = lock(&self.net);
         if net.path(from, to.ip()) != Path::Whole {
@@ -453,7 +455,7 @@
             net.backlogs.remove(&self.at);
         }
         drop(net);
-        // Who waits to be accepted is told so, outside any lock.
+        // Connections that wait to be accepted are closed outside any lock.
         let waiting = std::mem::take(&mut lock(&self.backlog).waiting);
         drop(waiting);
     }
@@ -511,7 +513,7 @@
                 let timer = me.timer.get_or_insert_with(|| Box::pin(sleep_until(at)));
                 timer.as_mut().reset(at);
                 drop(pipes);
-                // Registers this task; it may be due at once.
+                // Polling registers this task with the timer, which may be due at once.
                 if timer.as_mut().poll(cx).is_ready() {
                     cx.waker().wake_by_ref();
                 }
@@ -537,7 +539,7 @@
         };
         let mut pipes = lock(&self.conn.pipes);
         let pipe = &mut pipes.way[self.side];
-        // Packets arrive in order; behind one that is held, all are.
+        // Packets arrive in order: a held packet holds all packets behind it.
         let held = pipe.queue.back().is_some_and(|s| s.at.is_none());
         let at = at
             .filter(|_| !held)
--- a/crates/emulator/src/jobs.rs
+++ b/crates/emulator/src/jobs.rs
@@ -1,4 +1,4 @@
-//! What users order: jobs drawn from the scenario's classes.
+//! Jobs that users submit, drawn from the scenario's classes.
 
 use crate::machine::Sheet;
 use crate::world::{Upload, World};
@@ -9,40 +9,41 @@
 use rand_distr::StandardNormal;
 use rand_pcg::Pcg64;
 
-/// Standard deviations that 95 of 100 values lie below.
+/// Number of standard deviations that 95 of 100 values of a normal distribution lie below.
 const SD_95: f64 = 1.645;
 /// Spread of the run times of one job's tasks around the job's own.
 const TASKS_VARY: f64 = 0.25;
-/// Share of the jobs that can't run which ask for each impossible thing.
+/// Cumulative shares, among the jobs that cannot run, of an unknown team and of too many
+/// CPUs; the others ask for an unknown machine type.
 const UNKNOWN_TEAM: f64 = 0.4;
 const TOO_LARGE: f64 = 0.7;
 
-/// A job to be submitted, and what its user will do.
+/// A job to be submitted, and its user's later actions.
 #[derive(Debug, Clone)]
 pub struct Order {
     pub submission: Submission,
     pub upload: Upload,
     pub job: Job,
-    /// s after acceptance at which its user cancels it.
+    /// Seconds after acceptance at which the user cancels the job.
     pub cancel_after_s: Option<f64>,
-    /// Runs until then, or until the end of play.
+    /// The job runs until it is cancelled, or until the end of play.
     pub job_stands: bool,
     pub repeats: bool,
 }
 
-/// s after acceptance in which a user who cancels does so.
+/// Range of the time after acceptance at which a user who cancels does so, s.
 const CANCEL_AFTER_S: (f64, f64) = (5.0, 60.0);
-/// s after which the user of a job with a mistake gives it up.
+/// Range of the time after which the user of a job with a mistake cancels it, s.
 const MISTAKE_AFTER_S: (f64, f64) = (60.0, 120.0);
 
-/// Where the jobs of one class come from.
+/// Generator of the jobs of one class.
 #[derive(Debug)]
 pub struct Shop {
     rng: Pcg64,
     class: usize,
-    /// Name, GB, and how often each image is used, summed up.
+    /// Name, size in GB, and cumulative weight of each image.
     images: Vec<(String, f64, f64)>,
-    /// Numbers of its jobs, in no order; all shops share them out.
+    /// Job numbers in no particular order; the generators divide them among themselves.
     next: u32,
     step: u32,
     slot: u32,
@@ -55,19 +56,19 @@
     value.min(s.most.unwrap_or(f64::INFINITY))
 }
 
-/// Like a measured amount: no more digits than anybody would write.
+/// Rounds to two decimals, as a user would write a measured amount.
 fn round(v: f64) -> f64 {
     (v * 100.0).round() / 100.0
 }
 
-/// Job numbers, and steps that visit all of them: primes, which have no divisor in common
-/// with their count.
+/// Count of job numbers, and steps that visit all of them: primes, which have no divisor in
+/// common with the count.
 const NUMBERS: u32 = 1_000_000;
 const STEPS: [u32; 4] = [104_729, 224_737, 350_377, 479_909];
 
 impl Shop {
-    /// Of each class, and of each class of each pipeline: what one draws shifts nothing
-    /// in another.
+    /// Creates the generators of each class, and of each stage of each pipeline; draws from
+    /// one do not shift another.
     pub fn all(world: &World) -> (Vec<Shop>, Vec<Vec<Shop>>) {
         let w = &world.scenario.workload;
         let number = |name: &str| w.classes.iter().position(|c| c.name == name);
@@ -116,7 +117,7 @@
         (classes.collect(), pipelines.collect())
     }
 
-    /// Ids are unique, and come in no order.
+    /// Returns the next job id; ids are unique, in no particular order.
     fn id(&mut self) -> String {
         let own = NUMBERS / self.slots;
         self.next = (self.next + self.step) % own;
@@ -248,7 +249,7 @@
     }
 }
 
-/// The submission as the history has it.
+/// Converts a submission to its form in the history.
 pub(crate) fn as_recorded(submission: &Submission) -> Job {
     Job {
         id: submission.id.clone(),
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! The systems that cherrywood serves, emulated from their protocol: state
-//! service, cloud, workers, users and load balancer, and the network between
-//! them, in virtual time or on loopback. Everything is drawn from one seed, and
-//! what happens is recorded as a history.
+//! Emulations of the systems that surround cherrywood, written from their protocols: state
+//! service, cloud, workers, users and load balancer, and the network between them. They run
+//! in virtual time or on loopback. Every random draw derives from one seed, and events are
+//! recorded in a history.
 
 pub mod balancer;
 pub mod cloud;
--- a/crates/emulator/src/machine.rs
+++ b/crates/emulator/src/machine.rs
@@ -1,5 +1,5 @@
-//! One rented machine and its worker's state: tasks, images, lease, token. A
-//! state machine without I/O; the time is its own clock's, in seconds.
+//! A rented machine and its worker's state: tasks, images, lease, token. A state machine
+//! without I/O; all times are seconds of its own clock.
 
 use cherrywood_checker::history::Off;
 use cherrywood_scenario::deployment::MachineType;
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeMap;
 
-/// What the platform knows of a task's job, uploaded by its user.
+/// The platform's definition of a task, from the job that its user uploaded.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sheet {
     pub job: String,
@@ -18,18 +18,19 @@
     pub ram_gb: f64,
     pub image: String,
     pub image_gb: f64,
-    /// True run time of this task at ordinary speed, s; None runs until stopped.
+    /// True run time of this task at ordinary speed, s; a task with `None` runs until
+    /// stopped.
     pub run_s: Option<f64>,
     pub checkpoint_s: f64,
     pub save_s: f64,
-    /// Submitted with a mistake: it fails everywhere.
+    /// The job was submitted with a mistake: its tasks fail on every machine.
     pub mistaken: bool,
-    /// Progress kept outside machines, s, and whether it is finished.
+    /// Progress kept outside machines, s, and whether the task is finished.
     pub saved_s: f64,
     pub finished: bool,
 }
 
-/// What happened, for the history and for what is kept outside.
+/// An event on a machine, for the history or the progress kept outside.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Note {
     Starts {
@@ -49,15 +50,15 @@
         why: Off,
         kept_s: f64,
     },
-    /// A task that was fetching its image ended.
+    /// A task ended while it was fetching its image.
     Dropped {
         task: String,
         attempt: u64,
     },
-    /// The cloud says that it will take the machine.
+    /// The cloud gave notice that it will reclaim the machine.
     Notice,
     LeaseEnds,
-    /// Progress of the task is kept outside the machine.
+    /// Progress of the task was saved outside the machine.
     Saved {
         task: String,
         progress_s: f64,
@@ -73,32 +74,32 @@
     why: Option<ExitCause>,
     kept: Option<bool>,
     sheet: Sheet,
-    /// s of run time behind it, and what of it was kept before it came here.
+    /// Run time completed, s, and the part that was saved before this attempt.
     progress: f64,
     kept_before: f64,
-    /// When its save is over.
+    /// Time at which the checkpoint being saved is complete.
     save_until: f64,
-    /// When it fails, if it is to fail.
+    /// Time at which the task fails, if it is to fail.
     fails_at: Option<f64>,
 }
 
 #[derive(Debug)]
 struct Image {
     gb: f64,
-    /// GB still to fetch; 0 is cached.
+    /// GB still to fetch; 0 for a cached image.
     left: f64,
     used: f64,
 }
 
-/// What differs from machine to machine, and from hour to hour.
+/// Properties that vary between machines and over time.
 #[derive(Debug, Clone, Copy)]
 pub struct Traits {
     pub speed: f64,
     pub fetch_gb_per_s: f64,
     pub fetch_shared: bool,
-    /// Runs its tasks this many times slower.
+    /// Factor by which the machine runs its tasks slower.
     pub slow: f64,
-    /// Fails every task that it starts.
+    /// Whether every task that starts here fails.
     pub faulty: bool,
 }
 
@@ -114,22 +115,22 @@
     pub session: u64,
     seq: u64,
     pub token: u64,
-    /// On this clock: when the cloud takes it.
+    /// Time on this clock at which the cloud reclaims the machine.
     notice_until: Option<f64>,
     tasks: Vec<Task>,
     images: BTreeMap<String, Image>,
-    /// The lease counts from here.
+    /// Time from which the lease counts.
     leased: f64,
     advanced: f64,
     token_told: f64,
-    /// Something changed that the next report should tell soon.
+    /// Whether a change should be reported before the next regular heartbeat.
     pub changed: bool,
     notes: Vec<Note>,
 }
 
-/// s after which a task that is to fail does so.
+/// Seconds after which a task that is to fail does so.
 const FAILS_AFTER_S: f64 = 2.0;
-/// Amounts that sums of decimal numbers may be off by.
+/// Tolerance for the rounding error of sums of decimal numbers.
 const ROUNDING: f64 = 1e-6;
 
 impl Machine {
@@ -170,7 +171,7 @@
         std::mem::take(&mut self.notes)
     }
 
-    /// Tasks on it, and those that wait for an image.
+    /// Returns the number of running or saving tasks, and of tasks that wait for an image.
     pub fn load(&self) -> (usize, usize) {
         let of = |s: &[TaskState]| self.tasks.iter().filter(|t| s.contains(&t.state)).count();
         (
@@ -179,14 +180,15 @@
         )
     }
 
-    /// Tasks that run, and s that each has to go at least; none for standing ones.
+    /// Returns the running tasks and the seconds that each needs at least; `None` for those
+    /// that run until stopped.
     pub fn running(&self) -> Vec<(String, Option<f64>)> {
         let running = self.tasks.iter().filter(|t| t.state == TaskState::Running);
         let left = |t: &Task| t.sheet.run_s.map(|run_s| run_s - t.progress);
         running.map(|t| (t.id.clone(), left(t))).collect()
     }
 
-    /// The next message of this worker.
+    /// Returns this worker's next heartbeat.
     pub fn report(&mut self, now: f64) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
@@ -213,8 +215,8 @@
         }
     }
 
-    /// The answer to the report that was sent at `sent` in `session`. False if
-    /// it had to be dropped.
+    /// Handles the response to the heartbeat that was sent at `sent` in `session`. Returns
+    /// false if the response had to be dropped.
     pub fn answered(
         &mut self,
         answer: &HeartbeatResponse,
@@ -236,7 +238,7 @@
         true
     }
 
-    /// `POST /orders`; false if nothing was executed.
+    /// Handles `POST /orders`; returns false if nothing was executed.
     pub fn ordered(
         &mut self,
         orders: &DirectCommands,
@@ -258,7 +260,7 @@
     fn see(&mut self, token: u64, now: f64) {
         if token > self.token {
             self.token = token;
-            // At most once per half of a lease.
+            // Reported early at most once per half lease.
             if now - self.token_told >= self.lease_s / 2.0 {
                 self.token_told = now;
                 self.changed = true;
@@ -364,7 +366,8 @@
         self.evict();
     }
 
-    /// Keeps the most recently used images that fit; those that tasks need stay.
+    /// Evicts the least recently used images until the cache fits; images that tasks need
+    /// stay.
     fn evict(&mut self) {
         let needed = |name: &String, tasks: &[Task]| {
             let of = |t: &Task| t.state != TaskState::Exited && t.sheet.image == *name;
@@ -411,7 +414,7 @@
         }
     }
 
-    /// Ends a task; `all` of its progress is kept, or what its checkpoints hold.
+    /// Ends a task; keeps all of its progress (`all`), or what its checkpoints hold.
     fn exit(&mut self, at: usize, why: ExitCause, off: Off, all: bool) {
         let t = &mut self.tasks[at];
         let was_on = matches!(t.state, TaskState::Running | TaskState::Saving);
@@ -476,7 +479,7 @@
         }
     }
 
-    /// s of progress for each s.
+    /// Returns the seconds of progress that a running task makes in a second.
     fn pace(&self) -> f64 {
         self.traits.speed / self.traits.slow
     }
@@ -494,7 +497,8 @@
         self.traits.fetch_gb_per_s / k as f64
     }
 
-    /// When something happens here by itself.
+    /// Returns the time of the next event that needs no message: lease expiry, fetch, or
+    /// task.
     pub fn next_due(&self) -> f64 {
         let mut due = self.leased + self.lease_s;
         let rate = self.fetch_rate();
@@ -522,7 +526,8 @@
         image.is_none_or(|i| i.left <= 0.0)
     }
 
-    /// It stood still from `since` on: nothing here moved meanwhile.
+    /// Skips the time since the last advance, during which the machine was suspended: no
+    /// task or fetch progressed.
     pub fn stood_still(&mut self, now: f64) {
         let gap = now - self.advanced;
         self.advanced = now;
@@ -532,9 +537,9 @@
         }
     }
 
-    /// Lets time pass up to now: leases, fetches, tasks.
+    /// Advances leases, fetches and tasks to `now`.
     pub fn advance(&mut self, now: f64) {
-        // Events in between change rates, so one at a time.
+        // Events change the rates, so they are applied one at a time.
         while self.next_due() <= now {
             let at = self.next_due().max(self.advanced);
             self.pass(at);
@@ -597,7 +602,7 @@
         }
     }
 
-    /// The task has its image: it is on the machine from now on.
+    /// Starts to run a task whose image is complete.
     fn go_on(&mut self, at: usize, now: f64) {
         let faulty = self.traits.faulty;
         let t = &mut self.tasks[at];
@@ -614,7 +619,7 @@
         }
     }
 
-    /// The lease is over: every task is killed and forgotten.
+    /// Expires the lease: kills and forgets every task, and begins a new incarnation.
     fn expire(&mut self, now: f64) {
         self.notes.push(Note::LeaseEnds);
         self.end_all(Off::Lease);
@@ -623,7 +628,7 @@
         self.changed = true;
     }
 
-    /// Everything on it goes at once: its lease ended, or it is gone.
+    /// Ends all tasks at once because the lease expired or the machine is gone.
     pub fn end_all(&mut self, off: Off) {
         for at in 0..self.tasks.len() {
             if self.tasks[at].state != TaskState::Exited {
@@ -640,7 +645,7 @@
         self.changed = true;
     }
 
-    /// When its lease ends, unless a report is answered.
+    /// Returns the time of lease expiry, unless a heartbeat is answered before.
     pub fn lease_until(&self) -> f64 {
         self.leased + self.lease_s
     }
--- a/crates/emulator/src/odd.rs
+++ b/crates/emulator/src/odd.rs
@@ -1,5 +1,5 @@
-//! What users do only while a trouble has it so: cancellations at set moments, requests
-//! that make no sense, and questions at all controllers within milliseconds.
+//! User requests that only faults cause: cancellations at set moments, malformed or
+//! otherwise invalid requests, and status queries to all controllers within milliseconds.
 
 use crate::fabric::lock;
 use crate::jobs::as_recorded;
@@ -11,20 +11,20 @@
 use cherrywood_wire::user::Submission;
 use std::sync::Arc;
 
-/// s after the end of a job's last task within which it is cancelled.
+/// Most seconds between the end of a job's last task and its cancellation.
 const AT_END_S: f64 = 0.3;
-/// s between two odd requests.
+/// Range of the interval between two invalid requests, s.
 const ODD_EVERY_S: (f64, f64) = (0.1, 0.5);
-/// Questions at each controller, and s between two of them.
+/// Status queries to each controller, and range of the interval between two, s.
 const LOOKS: u32 = 3;
 const LOOK_EVERY_S: (f64, f64) = (0.001, 0.02);
-/// More CPUs than any machine has.
+/// A CPU request that no machine can satisfy.
 const TOO_MANY_CPUS: f64 = 1.0e6;
-/// Fields without which a submission must be refused.
+/// Required fields: a submission that lacks one must be refused.
 const NEEDED: [&str; 4] = ["crew", "chores", "cpus", "rank"];
 
 impl Users {
-    /// Does the user of this job wait for its end?
+    /// Whether the user of this job waits for its end.
     pub fn waits_for(&self, job: &str) -> bool {
         lock(&self.open).contains_key(job)
     }
@@ -33,13 +33,14 @@
         self.host.random_between(0.0, 1.0)
     }
 
-    /// Some value, drawn.
+    /// Draws one of the values; `None` if there are none.
     fn one_of<T>(&self, all: Vec<T>) -> Option<T> {
         let at = (self.host.random() % all.len().max(1) as u64) as usize;
         all.into_iter().nth(at)
     }
 
-    /// Cancels a job after so many s, until its user has been told how it ended.
+    /// Cancels a job after `after_s` seconds, and repeats the request until the user
+    /// receives a final state.
     pub fn cancel(self: Arc<Self>, job: String, after_s: f64) {
         self.host.clone().spawn(async move {
             self.host.sleep(after_s).await;
@@ -56,11 +57,11 @@
         });
     }
 
-    /// Does what troubles want done at the moment at which a job's last task ends.
+    /// Issues the requests that active faults demand at the end of a job's last task.
     pub(crate) async fn meet_ends(self: Arc<Self>) {
         loop {
             for job in self.world.next_finished().await {
-                // One whose user gave it up is nobody's to ask about.
+                // A job that its user has given up is not queried.
                 if !self.waits_for(&job) {
                     continue;
                 }
@@ -82,10 +83,10 @@
         shares.into_iter().any(|share| self.chance() < share)
     }
 
-    // --- close looks ---
+    // --- simultaneous status queries ---
 
-    /// While a trouble has it so, asks at all controllers about this job, again and again,
-    /// and repeats its submission at one.
+    /// While a fault demands it, queries all controllers repeatedly about this job, and
+    /// repeats its submission at one of them.
     pub(crate) fn look_closely(self: &Arc<Self>, job: &str) {
         let close = |t: &Trouble| matches!(t, Trouble::CloseLooks(_)).then_some(());
         if self.world.now_in(close).is_empty() {
@@ -120,9 +121,9 @@
         }
     }
 
-    // --- odd requests ---
+    // --- invalid requests ---
 
-    /// For so many s, requests that make no sense.
+    /// Sends invalid requests for `for_s` seconds.
     pub(crate) async fn odd_requests(self: Arc<Self>, for_s: f64) {
         let until = self.world.now_s() + for_s;
         while self.world.now_s() < until {
@@ -151,7 +152,8 @@
             .await;
     }
 
-    /// The user was told that it is done: the answer can't be another one.
+    /// Cancels a job reported as done to its user; the response must report it as done
+    /// again.
     async fn cancel_done(self: Arc<Self>) {
         let done = lock(&self.done).clone();
         if let Some(job) = self.one_of(done) {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// A job like one of those that are open, under an id that no user has.
+    /// Returns a copy of a drawn open submission under an id that no user has.
     fn like_an_open_one(&self) -> Option<Submission> {
         let open = lock(&self.open).values().cloned().collect();
         let mut submission: Submission = self.one_of(open)?;
@@ -202,7 +204,7 @@
     }
 }
 
-/// The submission as a body that lacks one field.
+/// Encodes a submission without one of its fields.
 fn without(submission: &Submission, field: &str) -> Option<Vec<u8>> {
     let mut fields: rmpv::Value = cherrywood_wire::decode(&encode(submission)).ok()?;
     if let rmpv::Value::Map(fields) = &mut fields {
--- a/crates/emulator/src/proc.rs
+++ b/crates/emulator/src/proc.rs
@@ -1,6 +1,6 @@
-//! An emulated process: its own clocks and chance, tasks that can stand still
-//! and be killed, and a way to the network, which is the fabric or, in a
-//! simulation with real processes, loopback.
+//! An emulated process: its own clocks and random stream, tasks that can be suspended and
+//! killed, and access to the network, which is simulated or, in a simulation with real
+//! processes, loopback.
 
 use crate::fabric::{Fabric, lock};
 use cherrywood_net::runtime::{BoxFuture, EmulatedRuntime, Listener, Runtime, Stream};
@@ -23,19 +23,19 @@
     static CURRENT: RefCell<Option<Arc<str>>> = const { RefCell::new(None) };
 }
 
-/// The process whose task runs on this thread now; for logs.
+/// Returns the name of the process whose task runs on this thread now; for logs.
 pub fn current() -> Option<Arc<str>> {
     CURRENT.with_borrow(Clone::clone)
 }
 
-/// How its clocks go.
+/// Deviations of a process's clocks.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Clocks {
-    /// Share by which the steady clock runs fast.
+    /// Fraction by which the monotonic clock runs fast.
     pub drift: f64,
-    /// s that the steady clock shows when the process starts.
+    /// Reading of the monotonic clock when the process starts, s.
     pub offset_s: f64,
-    /// ms by which the time of day is off.
+    /// Error of the wall clock, ms.
     pub wall_off_ms: f64,
 }
 
@@ -49,7 +49,7 @@
 struct Tasks {
     frozen: bool,
     dead: bool,
-    /// ms by which every step of its tasks is late.
+    /// Delay of every step of the process's tasks, ms.
     lag_ms: f64,
     waiting: Vec<Waker>,
     handles: BTreeMap<u64, AbortHandle>,
@@ -105,7 +105,7 @@
         Runtime::emulated(me.expect("a process outlives the call on it"))
     }
 
-    /// All its tasks stand still; its clocks run on.
+    /// Suspends all tasks of the process; its clocks run on.
     pub fn freeze(&self) {
         lock(&self.tasks).frozen = true;
     }
@@ -121,7 +121,8 @@
         }
     }
 
-    /// It computes slower: every step comes so many ms late, give or take half.
+    /// Slows the process down: every step of its tasks is delayed by `ms`, plus or minus
+    /// half.
     pub fn set_lag(&self, ms: f64) {
         lock(&self.tasks).lag_ms = ms;
     }
@@ -134,7 +135,7 @@
         lock(&self.tasks).dead
     }
 
-    /// Ends all its tasks; what they hold is dropped.
+    /// Ends all tasks of the process and drops what they hold.
     pub fn kill(&self) {
         let handles = {
             let mut tasks = lock(&self.tasks);
@@ -148,9 +149,9 @@
         }
     }
 
-    /// Of this clock's seconds, how many true ones.
+    /// Converts seconds of this process's clock to true seconds.
     fn true_s(&self, s: f64) -> Duration {
-        // A timer of a year is as good as none, and can be added to any time.
+        // The limit of about a year acts as no timer at all, and can be added to any time.
         Duration::from_secs_f64((s / (1.0 + self.clocks.drift)).clamp(0.0, 3.0e7))
     }
 }
@@ -217,8 +218,8 @@
     }
 }
 
-/// A task of a process: not polled while the process stands still, and late
-/// while it is slow.
+/// A task of a process: not polled while the process is suspended, and delayed while the
+/// process is slow.
 struct Gate {
     proc: Arc<Proc>,
     id: u64,
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -1,6 +1,6 @@
-//! The state service, with its troubles: outages for all or for one controller,
-//! slowness, falling behind, answers lost before, after or long before the
-//! request is executed.
+//! The emulated state service, with its faults: outages for all controllers or for one,
+//! slowness, reduced rates, and responses lost before, after or long before the request is
+//! executed.
 
 use crate::fabric::{Role, lock};
 use crate::proc::Proc;
@@ -18,15 +18,15 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
-/// ms that a slow answer takes: "now and then a few hundred".
+/// Additional delay of a slow response, ms.
 const SLOW_MS: (f64, f64) = (100.0, 400.0);
-/// s by which the end of a lease may be late.
+/// Most seconds by which a lease expiry may be late.
 const LEASE_LATE_S: f64 = 0.1;
-/// s after which a connection whose answer was lost is closed.
+/// Seconds after which a connection whose response was lost is closed.
 const LOST_S: f64 = 30.0;
-/// s after which a late transaction is executed.
+/// Range of the time after which a late transaction is executed, s.
 const LATE_WRITE_S: (f64, f64) = (2.0, 12.0);
-/// Connections from one controller.
+/// Most connections from one controller.
 const CONNECTIONS: usize = 10_000;
 
 pub struct StateHost {
@@ -34,9 +34,9 @@
     host: Runtime,
     service: Mutex<StoreService>,
     rng: Mutex<Pcg64>,
-    /// Something changed, or an outage ended.
+    /// Notified when the store changed or an outage ended.
     changed: Notify,
-    /// Controllers that it refuses alone, by trouble.
+    /// Refused controllers, by fault id.
     refused: Mutex<Vec<(u64, Vec<usize>)>>,
     proc: Arc<Proc>,
 }
@@ -79,24 +79,24 @@
         &self.proc
     }
 
-    /// The controller that holds the leader key.
+    /// Returns the label of the controller that holds the leader key.
     pub fn leader(&self) -> Option<String> {
         leadership(&lock(&self.service)).map(|l| l.label)
     }
 
-    /// Something was written, or a lease has ended.
+    /// Publishes a change of the store: a write, or a lease expiry.
     fn changed(&self, service: &StoreService) {
         self.world.set_leadership(leadership(service));
         self.changed.notify_waiters();
     }
 
-    /// Keys, and bytes of their values.
+    /// Returns the number of keys and the bytes of their values.
     pub fn size(&self) -> (usize, usize) {
         let size = lock(&self.service).store.size();
         (size.keys, size.value_bytes)
     }
 
-    /// Requests it answered with 429.
+    /// Returns the number of requests answered with 429.
     pub fn over_rate(&self) -> u64 {
         lock(&self.service).requests_over_rate
     }
@@ -115,7 +115,7 @@
         !self.world.now_in(down).is_empty()
     }
 
-    /// After an outage every lease has its full time again.
+    /// Restarts every lease with its full time once no outage is left.
     pub fn recovered(&self) {
         if !self.down() {
             lock(&self.service).store.renew_all_leases(self.host.now());
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Sets its rates to this share, while it falls behind.
+    /// Scales the service's rates to the least share that active faults set.
     pub fn set_share(&self) {
         let behind = |t: &Trouble| match t {
             Trouble::StateBehind(t) => Some(t.share),
@@ -133,7 +133,7 @@
         lock(&self.service).set_share(share);
     }
 
-    /// It has its next limits from now on.
+    /// Applies the scenario's next limits from now on.
     pub fn next_limits(&self) {
         let s = &self.world.scenario.deployment.state;
         let next = s.next.unwrap_or_default();
@@ -153,7 +153,7 @@
         lock(&self.rng).random()
     }
 
-    /// s that this request takes, before and after it is executed.
+    /// Draws the latency of a request, s; half of it passes before and half after execution.
     fn latency(&self) -> f64 {
         let s = &self.world.scenario.deployment.state;
         let mut ms = s.latency_ms * (0.5 + self.chance());
@@ -182,7 +182,8 @@
         hit.map(|(_, when, late_s)| (when, late_s))
     }
 
-    /// How the answer to this transaction is lost, if it is, and s by which it is late.
+    /// Draws how the response to this transaction is lost, if at all, and the seconds by
+    /// which the execution is late.
     fn late(&self, request: &Request) -> Option<(Lost, f64)> {
         if request.path != "/txn" {
             return None;
@@ -202,7 +203,7 @@
         })
     }
 
-    /// Are watches left waiting?
+    /// Whether a fault leaves watches waiting.
     fn lags(&self) -> bool {
         let lag = |t: &Trouble| matches!(t, Trouble::WatchLag(_)).then_some(());
         !self.world.now_in(lag).is_empty()
@@ -263,7 +264,7 @@
         reply
     }
 
-    /// A watch stays open during an outage, and while its node is refused.
+    /// Holds a watch; it stays open during an outage and while its controller is refused.
     async fn hold(&self, node: usize, watch: &HeldWatch) -> Response {
         let until = self.host.now() + watch.hold_ms as f64 / 1000.0;
         loop {
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Leases that are not renewed end, up to 100 ms late and never early.
+    /// Expires leases that are not renewed, up to 100 ms late and never early.
     async fn end_leases(&self) {
         loop {
             let next = lock(&self.service).store.next_lease_expiry();
@@ -302,7 +303,7 @@
     }
 }
 
-/// What the leader key says.
+/// Returns the leadership recorded in the leader key.
 fn leadership(service: &StoreService) -> Option<Leadership> {
     let item = service.store.get("L/leader")?;
     let fields = item.value.as_map()?;
@@ -317,7 +318,7 @@
     io::Error::new(e.kind(), format!("{at}: {e}"))
 }
 
-/// The controllers that a trouble hits, of those that are there.
+/// Draws the controllers that a fault hits.
 pub(crate) fn who(who: Who, leader: Option<usize>, nodes: usize, rng: &mut Pcg64) -> Vec<usize> {
     let drawn = rng.random_range(0..nodes.max(1));
     match who {
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -1,4 +1,4 @@
-//! Makes the scenario's troubles, each at its time.
+//! Injects the scenario's faults, each at its time.
 
 use crate::cloud::Cloud;
 use crate::fabric::{Break, Group, Role, lock};
@@ -16,14 +16,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Controllers, which whoever plays the scenario starts and ends: as tasks in
+/// Control over the controllers, implemented by the player of the scenario: as tasks in
 /// virtual time, or as processes.
 pub trait Nodes: Send + Sync {
     fn start(&self, node: usize);
     fn kill(&self, node: usize);
     fn freeze(&self, node: usize);
     fn thaw(&self, node: usize);
-    /// Each of its steps is so many ms late from now on.
+    /// Delays each step of a controller by `lag_ms` from now on.
     fn slow(&self, node: usize, lag_ms: f64);
 }
 
@@ -44,11 +44,11 @@
     rng: Mutex<Pcg64>,
 }
 
-/// s that a job's task has to go at least, for its job to have long to go.
+/// Least remaining run time of a task, s, that makes its job one with long to go.
 const LONG_TO_GO_S: f64 = 20.0;
-/// s within which such jobs are all cancelled.
+/// Seconds within which such jobs are all cancelled.
 const CANCEL_WITHIN_S: f64 = 0.2;
-/// Machines that stand still at most when jobs are cancelled.
+/// Most machines that are suspended when jobs are cancelled.
 const HANG_MOST: usize = 8;
 
 async fn wait(s: f64) {
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Starts all controllers, and every trouble at its time.
+    /// Starts all controllers, and schedules every fault at its time.
     pub fn start(self: &Arc<Self>) {
         let count = lock(&self.is).len();
         for node in 0..count {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Kills a controller; the platform starts it again.
+    /// Kills a controller; the platform restarts it.
     pub fn crash(self: &Arc<Self>, node: usize) {
         if lock(&self.is)[node] == Is::Down {
             return;
@@ -124,7 +124,7 @@
         });
     }
 
-    /// A controller ended by itself, which none should.
+    /// Records that a controller exited by itself, which none should, and restarts it.
     pub fn ended(self: &Arc<Self>, node: usize, why: &str) {
         if lock(&self.is)[node] != Is::Down {
             lock(&self.is)[node] = Is::Down;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Breaks paths for the length of a trouble.
+    /// Breaks paths for the duration of a fault.
     async fn cut(&self, paths: Vec<(Group, Group)>, how: Break, for_s: f64) {
         let fabric = &self.world.fabric;
         let cuts = paths.into_iter().map(|(a, b)| fabric.cut(a, b, how));
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The machines that a trouble makes mute.
+    /// Draws the machines whose heartbeats a fault blocks.
     fn mute(&self, trouble: &MachineMute) -> Vec<Arc<Worker>> {
         let zone = trouble.zone.as_deref();
         let mut hit = self
@@ -191,7 +191,7 @@
         hit.into_iter().map(|(_, worker)| worker).collect()
     }
 
-    /// Users cancel jobs that have long to go, and machines of theirs stand still.
+    /// Makes users cancel jobs that have long to go, and suspends machines that run them.
     fn cancel_now(&self, trouble: &CancelNow) {
         let mut jobs: BTreeMap<String, Vec<Arc<Worker>>> = BTreeMap::new();
         for (_, worker) in self.cloud.draw(u32::MAX, None, |_| true) {
@@ -387,7 +387,7 @@
                 }
                 wait(for_s).await;
             }
-            // The rest is looked up by those whom it concerns.
+            // The emulated systems query these faults themselves while they are active.
             Trouble::StateSlow(_)
             | Trouble::LateReports(_)
             | Trouble::LateCommands(_)
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -1,5 +1,5 @@
-//! Users behind the load balancer: they submit, retry, poll, cancel, come back
-//! later, and ask about jobs that nobody submitted.
+//! Users behind the load balancer: they submit, retry, query the status of jobs, cancel,
+//! come back later, and query jobs that nobody submitted.
 
 use crate::balancer::{ACCEPT_WAIT_S, Balancer, PROBE_EVERY_S, PROBE_WAIT_S, TRIES};
 use crate::fabric::{Role, lock};
@@ -18,23 +18,25 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// s that a user waits for the answer to a submission or a cancellation, and
-/// to a poll.
+/// Seconds that a user waits for the response to a submission or a cancellation, and to a
+/// status query.
 const ANSWER_WAIT_S: f64 = 5.0;
 const POLL_WAIT_S: f64 = 2.0;
-/// s after which a refused user tries again, at least and at most, and in all.
+/// Least and most seconds after which a refused user retries, and seconds after which the
+/// user gives up.
 const RETRY_S: f64 = 1.0;
 const RETRY_AFTER_MOST_S: f64 = 30.0;
 const RETRY_ALL_S: f64 = 60.0;
-/// s after the end of a job at which its user may ask again.
+/// Range of the time after the end of a job at which its user may query it again, s.
 const LATER_S: (f64, f64) = (5.0, 40.0);
-/// s after acceptance at which a job of a pipeline is cancelled: from, and over.
+/// Time after acceptance at which a job of a pipeline is cancelled, s: least, and width of
+/// the range.
 const CANCEL_STAGE_S: (f64, f64) = (2.0, 60.0);
-/// Share of users who ask again after the end.
+/// Share of users who query a job again after its end.
 const LATER_SHARE: f64 = 0.3;
-/// s between two looks at how many jobs come.
+/// Interval for which job arrivals are drawn, s.
 const ARRIVALS_S: f64 = 0.25;
-/// s after the beginning at which users come: when the controllers are up.
+/// Seconds after the beginning at which users arrive; the controllers are up by then.
 const OPENS_S: f64 = 5.0;
 
 /// The load balancer and all users.
@@ -43,14 +45,14 @@
     proc: Arc<Proc>,
     pub(crate) host: Runtime,
     balancer: Mutex<Balancer>,
-    /// Of each node: how often its connections were reset.
+    /// Number of times that the connections to each controller were reset.
     resets: Mutex<Vec<u64>>,
-    /// Of each class, and of each stage of each pipeline.
+    /// Job generators of each class, and of each stage of each pipeline.
     shop: Vec<Mutex<Shop>>,
     stages: Vec<Vec<Mutex<Shop>>>,
-    /// Accepted jobs whose users wait for their end, and what they submitted.
+    /// Accepted jobs whose users wait for their end, with their submissions.
     pub(crate) open: Mutex<BTreeMap<String, Submission>>,
-    /// Jobs whose users were told that they are done.
+    /// Jobs that were reported as done to their users.
     pub(crate) done: Mutex<Vec<String>>,
 }
 
@@ -68,7 +70,7 @@
     }
 }
 
-/// What came of a request.
+/// The outcome of a request.
 pub(crate) struct Told {
     status: u16,
     state: Option<JobState>,
@@ -76,12 +78,12 @@
 }
 
 impl Told {
-    /// Was the user told that the job is over?
+    /// Whether the response reports a final state of the job.
     pub(crate) fn is_final(&self) -> bool {
         self.state.is_some_and(|s| state(s).is_final())
     }
 
-    /// s after which the user asks again.
+    /// Returns the seconds after which the user repeats the request.
     pub(crate) fn retry_s(&self) -> f64 {
         let wait_s = self.retry_after_s.unwrap_or(RETRY_S);
         wait_s.clamp(RETRY_S, RETRY_AFTER_MOST_S)
@@ -152,7 +154,7 @@
 
     async fn probe(self: Arc<Self>, node: usize) {
         let to = self.world.addresses.nodes[node].0;
-        // Not all at once.
+        // The probes of the controllers are spread over the interval.
         self.host
             .sleep(self.host.random_between(0.0, PROBE_EVERY_S))
             .await;
@@ -208,7 +210,7 @@
         }
     }
 
-    /// A connection to this very node.
+    /// Connects to the given controller directly, without a choice by the load balancer.
     pub(crate) async fn connect_to(self: &Arc<Self>, node: usize) -> Option<Line> {
         let connecting = self.host.connect(self.address(node));
         let stream = self.host.timeout(ACCEPT_WAIT_S, connecting).await;
@@ -219,7 +221,7 @@
         self.world.addresses.nodes[node].0
     }
 
-    /// One request on the user's connection, or a new one.
+    /// Sends one request on the user's connection, or on a new one, and records the outcome.
     pub(crate) async fn ask(
         self: &Arc<Self>,
         line: &mut Option<Line>,
@@ -274,8 +276,8 @@
 
     // --- users ---
 
-    /// What comes and when is drawn apart from all else: the same seed brings
-    /// the same jobs, whatever the controllers do.
+    /// Arrivals of a class. Jobs and their times are drawn from streams of their own: the
+    /// same seed gives the same jobs, whatever the controllers do.
     async fn arrivals(self: Arc<Self>, class: usize) {
         let c = self.world.scenario.workload.classes[class].clone();
         let mut rng = self.world.rng(&format!("arrivals of {}", c.name));
@@ -290,7 +292,8 @@
             };
             let times = self.world.now_in(burst).into_iter().fold(1.0, f64::max);
             let expected = c.per_minute / 60.0 * ARRIVALS_S * times;
-            // Poisson, by Knuth: few come in so short a time.
+            // Poisson distribution by Knuth's method; the expected count in so short a time
+            // is small.
             let (least, mut chance, mut n) = (libm::exp(-expected), 1.0, 0);
             loop {
                 chance *= rng.random::<f64>();
@@ -329,7 +332,8 @@
         self.stay(line, order, body).await;
     }
 
-    /// What a user does about an accepted job.
+    /// Follows an accepted job to its end: queries, cancellation, and what the user does
+    /// afterwards.
     async fn stay(self: Arc<Self>, mut line: Option<Line>, order: Order, body: Vec<u8>) {
         let id = order.submission.id.clone();
         lock(&self.open).insert(id.clone(), order.submission.clone());
@@ -372,17 +376,18 @@
             let chances = [rng.random::<f64>(), rng.random(), rng.random()];
             self.host
                 .spawn(async move { own.pipeline(n, chances).await });
-            // Exponential pauses.
+            // Exponentially distributed intervals.
             let pause = -libm::log(1.0 - rng.random::<f64>()) * 60.0 / p.per_minute;
             self.host.sleep(pause).await;
         }
     }
 
-    /// Submits the jobs of one pipeline, each when those that it needs are accepted.
+    /// Submits the jobs of one pipeline, each once the jobs that it depends on are accepted.
     async fn pipeline(self: Arc<Self>, n: usize, [late, cancels, which]: [f64; 3]) {
         let p = self.world.scenario.workload.pipelines[n].clone();
         let mut orders: Vec<Vec<Order>> = Vec::new();
-        // Of each stage: s of the longest path up to its end, by its owners' estimates.
+        // Length of the longest path up to the end of each stage, s, by the owners'
+        // estimates.
         let mut path: Vec<f64> = Vec::new();
         for (at, stage) in p.stages.iter().enumerate() {
             let mut shop = lock(&self.stages[n][at]);
@@ -423,7 +428,7 @@
                 let body = encode(&order.submission);
                 let mut line = None;
                 if !self.submit(&mut line, &id, &body).await {
-                    // Nothing after it can be submitted.
+                    // The jobs of later stages cannot be submitted.
                     self.world.close();
                     return;
                 }
@@ -438,7 +443,7 @@
         }
     }
 
-    /// Submits until it is accepted (true), refused, or given up.
+    /// Submits until the job is accepted (true), or refused or given up (false).
     pub(crate) async fn submit(
         self: &Arc<Self>,
         line: &mut Option<Line>,
@@ -446,7 +451,8 @@
         body: &[u8],
     ) -> bool {
         let first = self.host.now();
-        // Drawn only where a scenario has such users, so that others replay as before.
+        // Drawn only if the scenario has such users, so that other scenarios replay
+        // unchanged.
         let impatient = self.world.scenario.workload.impatient;
         let impatient = impatient > 0.0 && self.host.random_between(0.0, 1.0) < impatient;
         loop {
@@ -469,7 +475,8 @@
         }
     }
 
-    /// Polls until the job is over, and cancels it when its time has come.
+    /// Queries the status until the job has ended, and cancels the job when `cancel_at` is
+    /// reached.
     async fn watch(
         self: &Arc<Self>,
         line: &mut Option<Line>,
@@ -520,7 +527,7 @@
             self.host
                 .sleep(every * self.host.random_between(0.5, 1.5))
                 .await;
-            // Seven digits: no user's id.
+            // No user's id has this prefix: users' ids have six digits, these seven.
             let id = format!("wk-9{:06}", rng.random_range(0..1_000_000));
             self.ask(&mut None, Ask::Poll, &id, None).await;
         }
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,5 +1,5 @@
-//! A worker: reports to the controllers, serves their direct orders, and lets
-//! its machine's time pass.
+//! A worker: sends heartbeats to the controllers, serves direct commands, and advances its
+//! machine's state over time.
 
 use crate::fabric::{Role, lock};
 use crate::machine::{Machine, Traits};
@@ -21,24 +21,24 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
-/// s; the clock of a simulation counts in these.
+/// Shortest wait, s: the resolution of the simulation's clock.
 const LEAST_WAIT_S: f64 = 0.001;
-/// s that a worker waits for an answer, and before it tries the next node.
+/// Seconds that a worker waits for a response, and before it tries the next controller.
 const ANSWER_WAIT_S: f64 = 4.0;
 const NEXT_NODE_S: f64 = 1.0;
-/// s between two reports at least, and most s before it follows a redirect.
+/// Least seconds between two heartbeats, and most seconds before a redirect is followed.
 const REPORT_LEAST_S: f64 = 0.5;
 const REDIRECT_S: f64 = 0.5;
-/// Share by which the time between two reports varies.
+/// Fraction by which the interval between two heartbeats varies.
 const REPORT_VARIES: f64 = 0.25;
-/// s after which a command that doesn't reach a worker has its connection closed.
+/// Seconds after which the connection of a command that does not reach the worker is closed.
 const DEAF_S: f64 = 10.0;
-/// s by which a direct command that is held up comes late.
+/// Range of the delay of a direct command that arrives late, s.
 const LATE_COMMAND_S: (f64, f64) = (2.0, 16.0);
-/// Copies of reports come at least so many s late, and at most so many leases.
+/// Least delay of a heartbeat's copy, s, and the most, in leases.
 const LATE_REPORT_S: f64 = 2.0;
 const LATE_REPORT_LEASES: f64 = 2.5;
-/// Connections from controllers.
+/// Most connections from controllers.
 const CONNECTIONS: usize = 200;
 const PORT: u16 = 9000;
 
@@ -48,19 +48,19 @@
     pub proc: Arc<Proc>,
     host: Runtime,
     machine: Mutex<Machine>,
-    /// Something changed on the machine.
+    /// Notified when the machine has a change to report.
     changed: Notify,
     tick: Notify,
-    /// No answer and no command reaches it.
+    /// Whether responses and direct commands fail to reach the worker.
     deaf: AtomicBool,
-    /// It reaches no controller.
+    /// Whether the worker's heartbeats fail to reach any controller.
     mute: AtomicBool,
 }
 
-/// What to do after a report.
+/// The controller of the next heartbeat.
 enum Next {
     Stay,
-    /// Another node, after so long.
+    /// Another controller, after this many seconds.
     Go(usize, f64),
 }
 
@@ -70,13 +70,13 @@
     IpAddr::V4(Ipv4Addr::new(10, 16 + a, b, c))
 }
 
-/// Where a machine's worker is asked, where that is known from its name.
+/// Returns the address of a machine's worker if the machine's name determines it.
 pub fn endpoint(world: &World, machine: &str) -> Option<String> {
     matches!(world.medium, Medium::Fabric(_)).then(|| format!("{}:{PORT}", address(machine)))
 }
 
 impl Worker {
-    /// A machine that is up: its worker starts to report.
+    /// Starts the worker of a machine that has booted; it begins to send heartbeats.
     pub async fn start(
         world: &Arc<World>,
         name: &str,
@@ -141,7 +141,7 @@
         Ok(me)
     }
 
-    /// Does something to the machine, and tells the world what came of it.
+    /// Applies an operation to the machine and records the resulting events.
     fn with<T>(&self, act: impl FnOnce(&mut Machine, f64) -> T) -> T {
         let (out, notes, changed) = {
             let mut m = lock(&self.machine);
@@ -178,17 +178,18 @@
         self.mute.store(mute, Ordering::Relaxed);
     }
 
-    /// Tasks that run, and s that each has to go at least; none for standing ones.
+    /// Returns the running tasks and the seconds that each needs at least; `None` for those
+    /// that run until stopped.
     pub fn running(&self) -> Vec<(String, Option<f64>)> {
         lock(&self.machine).running()
     }
 
-    /// The cloud takes it in so many seconds.
+    /// Announces that the cloud reclaims the machine in `s` seconds.
     pub fn notice(&self, s: f64) {
         self.with(|m, now| m.notice(now + s));
     }
 
-    /// It loses its power, with everything on it.
+    /// Powers the machine off; everything on it is lost.
     pub fn die(&self) {
         self.with(|m, now| {
             m.advance(now);
@@ -198,11 +199,11 @@
         self.proc.kill();
     }
 
-    /// Stands still for so long; its lease may end meanwhile.
+    /// Suspends the machine for `for_s` seconds; its lease may expire meanwhile.
     pub async fn hang(self: Arc<Self>, for_s: f64) {
         self.with(|m, now| m.advance(now));
         self.proc.freeze();
-        // The scenario's own clock: this process doesn't run.
+        // Sleeps on the scenario's clock, because this process is suspended.
         let until = self.host.now() + for_s;
         let lease = lock(&self.machine).lease_until();
         if lease < until {
@@ -231,7 +232,7 @@
                 m.advance(now);
                 m.next_due() - now
             });
-            // `with` has just notified this very loop.
+            // `with` has just notified this loop itself.
             self.tick.notified().await;
             let _ = self
                 .host
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Is this direct command held up on its way?
+    /// Draws whether a fault delays this direct command.
     fn delays(&self, request: &Request) -> bool {
         if request.path != "/orders" {
             return false;
@@ -278,7 +279,7 @@
         })
     }
 
-    /// Carries the command out seconds later; its sender gets no answer.
+    /// Executes the command seconds later; its sender gets no response.
     async fn serve_late(self: Arc<Self>, request: Request) -> Response {
         let (own, late_s) = (
             self.clone(),
@@ -295,7 +296,7 @@
         }
     }
 
-    // --- reports ---
+    // --- heartbeats ---
 
     async fn report(&self) {
         let nodes = self.world.addresses.nodes.len();
@@ -306,7 +307,8 @@
         let mut last = f64::NEG_INFINITY;
         let mut not_before = next;
         loop {
-            // A change is told sooner, though never within half a second.
+            // A change is reported early, but never within half a second of the last
+            // heartbeat.
             loop {
                 let changed = self.changed.notified();
                 let now = self.host.now();
@@ -319,7 +321,8 @@
                 if now >= due {
                     break;
                 }
-                // A wait below a nanosecond is none: time stood still here for good.
+                // Timers round a wait below a nanosecond to zero, and virtual time would
+                // never advance.
                 let wait = (due - now).max(LEAST_WAIT_S);
                 let _ = self.host.timeout(wait, changed).await;
             }
@@ -366,7 +369,7 @@
         }
     }
 
-    /// Copies of a report that come late, if such a trouble has it so.
+    /// Sends copies of a heartbeat that arrive late, while a fault demands it.
     fn copy(&self, body: &[u8]) {
         let copies = |t: &Trouble| match t {
             Trouble::LateReports(t) => Some(t.clone()),
@@ -422,7 +425,7 @@
                     let mut sheet = |task: &str| world.sheet(task);
                     self.with(|m, now| m.answered(&told, session, sent, now, &mut sheet));
                 }
-                // An answer that it drops holds it here all the same.
+                // The worker stays with this controller even if it dropped the response.
                 Next::Stay
             }
             421 => {
@@ -440,7 +443,8 @@
     }
 }
 
-/// Waits for as long as a copy of a report is held back; the controller that it reaches.
+/// Waits for as long as a heartbeat's copy is delayed, and returns the controller that
+/// receives it.
 async fn held_back(world: &World, host: &Runtime, trouble: &LateReports) -> Option<usize> {
     if trouble.for_next {
         return world.next_leader().await;
@@ -456,7 +460,7 @@
     Some(node)
 }
 
-/// Records that a machine is up.
+/// Records that a machine has booted and its worker has started.
 pub(crate) fn up(world: &World, machine: &str) {
     let machine = machine.to_string();
     world.record(What::Up { machine });
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,5 +1,6 @@
-//! What all emulated systems share: the scenario, its clock and chance, what users
-//! uploaded, progress kept outside machines, troubles now, and the history.
+//! State shared by all emulated systems: the scenario, the clock, the random streams, the
+//! jobs that users uploaded, task progress kept outside machines, active faults, and the
+//! history.
 
 use crate::fabric::{Delays, Fabric, Role, lock};
 use crate::machine::{Note, Sheet};
@@ -15,13 +16,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Where everybody is.
+/// Addresses of the emulated systems.
 #[derive(Debug, Clone)]
 pub struct Addresses {
-    /// Of each controller: for users and workers, and for the others.
+    /// Addresses of each controller: the one for users and workers, and the one for peers.
     pub nodes: Vec<(SocketAddr, SocketAddr)>,
-    /// The state service has an address for each controller, so that it can
-    /// tell them apart on loopback as well.
+    /// Addresses of the state service, one for each controller, so that it can tell the
+    /// controllers apart on loopback as well.
     pub state: Vec<SocketAddr>,
     pub cloud: SocketAddr,
 }
@@ -49,7 +50,7 @@
         }
     }
 
-    /// From this port on.
+    /// Consecutive ports on loopback, starting at `port`.
     pub fn loopback(nodes: u32, port: u16) -> Addresses {
         let at = |n: u32| SocketAddr::new(Ipv4Addr::LOCALHOST.into(), port + n as u16);
         Addresses {
@@ -62,11 +63,11 @@
     }
 }
 
-/// A job as its user knows it, and the truth about its tasks.
+/// A job as uploaded by its user, with the true run times of its tasks.
 #[derive(Debug, Clone)]
 pub struct Upload {
     pub sheet: Sheet,
-    /// True run time of each task, s; empty for standing ones.
+    /// True run time of each task, s; empty for jobs that run until stopped.
     pub runs: Vec<f64>,
 }
 
@@ -75,22 +76,22 @@
     history: History,
     checker: Checker,
     uploads: BTreeMap<String, Upload>,
-    /// Progress of tasks that is kept outside machines, and whether they are
+    /// Progress of each task that is kept outside machines, s, and whether the task is
     /// finished.
     progress: BTreeMap<String, (f64, bool)>,
-    /// Of each job: tasks that are finished for good.
+    /// Number of permanently finished tasks, by job.
     finished: BTreeMap<String, u32>,
-    /// Jobs whose last task has just finished, until they are taken.
+    /// Jobs whose last task has finished and that `next_finished` has not returned yet.
     finished_jobs: Vec<String>,
     active: Vec<(u64, Trouble)>,
     next_trouble: u64,
-    /// Jobs whose users are not done with them.
+    /// Number of jobs whose users still wait for an outcome.
     open: u64,
-    /// Why it ends before everything is settled.
+    /// Reason for ending the scenario before everything is settled.
     stopped: Option<String>,
 }
 
-/// Who leads, and the version of the leader key that says so.
+/// The leading controller, and the revision of the leader key that names it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leadership {
     pub label: String,
@@ -112,7 +113,8 @@
 }
 
 impl World {
-    /// A scenario in virtual time, or on loopback from a port on.
+    /// Creates the world of a scenario: in virtual time, or on loopback ports starting at
+    /// `port`.
     pub fn new(scenario: Scenario, seed: u64, port: Option<u16>) -> Arc<World> {
         let n = &scenario.deployment.network;
         let delays = Delays {
@@ -167,7 +169,7 @@
         })
     }
 
-    /// s since the scenario began.
+    /// Returns the seconds since the scenario began.
     pub fn now_s(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
@@ -176,19 +178,19 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Chance of its own for each concern: a draw here shifts none there.
+    /// Returns the random stream of a concern; draws from one stream do not shift another.
     pub fn rng(&self, concern: &str) -> Pcg64 {
         Pcg64::seed_from_u64(stream_seed(self.seed, concern))
     }
 
-    /// A process on a host of the region (no zone) or of a zone.
+    /// Creates a process on a host in a zone, or in the region outside all zones (`None`).
     pub fn proc(&self, name: &str, ip: IpAddr, role: Role, zone: Option<&str>) -> Arc<Proc> {
         if matches!(self.medium, Medium::Fabric(_)) {
             self.fabric.join(ip, role, zone);
         }
         let mut rng = self.rng(&format!("{name} at {}", self.now_ms()));
         let n = &self.scenario.deployment.node;
-        // On loopback all share the machine's clock.
+        // On loopback all processes share the machine's clock.
         let clocks = match self.medium {
             Medium::Fabric(_) => Clocks {
                 drift: rng.random::<f64>() * n.drift,
@@ -229,24 +231,24 @@
         core.checker.feed(event);
     }
 
-    /// Takes the history, at the end.
+    /// Records the end of the scenario and returns its history.
     pub fn finish(&self) -> History {
         self.record(What::Ends);
         std::mem::take(&mut lock(&self.core).history)
     }
 
-    /// Rules broken so far.
+    /// Returns the number of rule violations so far.
     pub fn broken(&self) -> usize {
         lock(&self.core).checker.breaches.len()
     }
 
-    /// Calls with the events so far; for those who watch.
+    /// Calls a function with the history and the checker as they are now; for observers.
     pub fn look<T>(&self, at: impl FnOnce(&History, &Checker) -> T) -> T {
         let core = lock(&self.core);
         at(&core.history, &core.checker)
     }
 
-    // --- troubles ---
+    // --- faults ---
 
     pub fn begin(&self, trouble: &Trouble) -> u64 {
         let id = {
@@ -273,7 +275,7 @@
         }
     }
 
-    /// What `of` makes of the troubles now.
+    /// Returns the values that `of` selects from the active faults.
     pub fn now_in<T>(&self, of: impl Fn(&Trouble) -> Option<T>) -> Vec<T> {
         let core = lock(&self.core);
         core.active.iter().filter_map(|(_, t)| of(t)).collect()
@@ -281,19 +283,20 @@
 
     // --- jobs ---
 
-    /// Users upload what their job needs before they submit it.
+    /// Stores a job's definition, which its user uploads before submitting, and records the
+    /// submission.
     pub fn upload(&self, upload: Upload, job: Job) {
         lock(&self.core).uploads.insert(job.id.clone(), upload);
         self.submitted(job);
     }
 
-    /// A user is about to submit a job.
+    /// Records that a user is about to submit a job.
     pub fn submitted(&self, job: Job) {
         lock(&self.core).open += 1;
         self.record(What::Submitted { job });
     }
 
-    /// A user is done with a job.
+    /// Counts a job as closed: its user no longer waits for an outcome.
     pub fn close(&self) {
         let mut core = lock(&self.core);
         core.open = core.open.saturating_sub(1);
@@ -316,7 +319,7 @@
         Some(sheet)
     }
 
-    /// Records what happened on a machine.
+    /// Records events of a machine in the history; saved progress is stored instead.
     pub fn note(&self, machine: &str, notes: Vec<Note>) {
         for note in notes {
             let machine = machine.to_string();
@@ -364,7 +367,7 @@
         }
     }
 
-    /// Keeps a task's progress outside its machine.
+    /// Stores a task's progress outside its machine.
     fn keep(&self, task: &str, progress_s: f64, finished: bool) {
         let mut core = lock(&self.core);
         let kept = core.progress.entry(task.to_string()).or_default();
@@ -383,7 +386,7 @@
         }
     }
 
-    /// Waits until the last task of some job has finished; those jobs.
+    /// Waits until the last task of at least one job has finished, and returns these jobs.
     pub async fn next_finished(&self) -> Vec<String> {
         loop {
             let jobs = std::mem::take(&mut lock(&self.core).finished_jobs);
@@ -396,7 +399,7 @@
 
     // --- leadership ---
 
-    /// The state service says who leads now.
+    /// Sets the leadership that the state service's leader key now shows.
     pub fn set_leadership(&self, now: Option<Leadership>) {
         let was = std::mem::replace(&mut *lock(&self.leadership), now.clone());
         if was != now {
@@ -404,9 +407,9 @@
         }
     }
 
-    /// The controller that leads after the present one, once it does. Those who wait go on in
-    /// the order in which they came: tokio's `watch` wakes them in an order of its own chance,
-    /// which no seed replays.
+    /// Waits for a change of leadership and returns the new leader. Waiting tasks resume in
+    /// the order in which they began to wait; tokio's `watch` would wake them in an order of
+    /// its own randomness, which no seed replays.
     pub async fn next_leader(&self) -> Option<usize> {
         let before = lock(&self.leadership).clone();
         let label = loop {
@@ -434,5 +437,5 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(concern.as_bytes(), seed)
 }
 
-/// What a task's end is called when its machine goes.
+/// Reason recorded for the end of a task whose machine is gone.
 pub(crate) const GONE: Off = Off::Gone;
--- a/crates/emulator/tests/fabric.rs
+++ b/crates/emulator/tests/fabric.rs
@@ -1,4 +1,4 @@
-//! The network that simulations believe in: delay, order, broken paths, power.
+//! The simulated network: delay, order, broken paths, power loss.
 
 use cherrywood_emulator::fabric::{Break, Delays, Group, Role};
 use cherrywood_emulator::{Clocks, Fabric, Medium, Proc};
@@ -53,7 +53,7 @@
     (client, server, listener)
 }
 
-/// Plays in virtual time.
+/// Runs a test in virtual time.
 fn play<F: Future<Output = ()>>(test: impl FnOnce(World) -> F) {
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -101,7 +101,7 @@
         c.write_all(b"late").await.unwrap();
         drop(c);
         assert!(timeout(SOON, s.read(&mut [0; 4])).await.is_err());
-        // A connection attempt hangs; one that is abandoned never completes.
+        // A connection attempt waits; an abandoned one never completes.
         let host = w.a.host();
         assert!(timeout(SOON, host.connect(at(2))).await.is_err());
         sleep(Duration::from_secs(20)).await;
@@ -153,7 +153,7 @@
     });
 }
 
-/// Counts up, a step a second of its own clock.
+/// Counts the seconds of the host's own clock.
 fn count(host: &Runtime) -> Arc<Mutex<u32>> {
     let n = Arc::new(Mutex::new(0));
     let (host_, counter) = (host.clone(), n.clone());
--- a/crates/emulator/tests/machine.rs
+++ b/crates/emulator/tests/machine.rs
@@ -1,4 +1,4 @@
-//! A worker by the protocol page: tasks, leases, tokens, sessions, saves.
+//! The worker's protocol: tasks, leases, fencing tokens, incarnations, checkpoints.
 
 use cherrywood_checker::history::Off;
 use cherrywood_emulator::machine::{Machine, Note, Sheet, Traits};
@@ -57,7 +57,7 @@
     }
 }
 
-/// Answers a report sent just now.
+/// Responds to a heartbeat sent at `now`.
 fn tell(m: &mut Machine, token: u64, commands: Vec<Command>, now: f64) -> bool {
     let answer = HeartbeatResponse {
         fencing_token: token,
@@ -100,7 +100,7 @@
         _ => None,
     });
     assert_eq!(off, Some((Off::Done, 20.0)));
-    // Once forgotten, the attempt is unknown and starts again.
+    // A forgotten attempt is unknown and starts again.
     let forget = Command::Forget {
         task: "wk-000001/0".into(),
         attempt: 1,
@@ -151,7 +151,7 @@
     assert_eq!(m.session, 2);
     let notes = m.notes();
     assert!(notes.contains(&Note::LeaseEnds));
-    // An answer to a report of the earlier session is dropped.
+    // A response to a heartbeat of the previous incarnation is dropped.
     let late = HeartbeatResponse {
         fencing_token: 9,
         commands: vec![start("wk-000001/1", 3)],
@@ -195,7 +195,7 @@
         });
         assert_eq!(off, Some(kept), "{task} with {grace} s");
     }
-    // A second stop with no slack ends a save.
+    // A second stop without grace period ends a save.
     let mut m = machine();
     tell(&mut m, 5, vec![start("wk-000002/0", 1)], 0.0);
     tell(&mut m, 5, vec![stop("wk-000002/0", 1, 9.0)], 9.0);
@@ -225,7 +225,7 @@
     let running = |m: &mut Machine, now| states(m, now).last().unwrap().1 == TaskState::Running;
     assert!(!running(&mut m, 8.9), "the first fetch was given up");
     assert!(running(&mut m, 9.0));
-    // The cache of 3 GB is full; the least recently used image goes.
+    // The cache of 3 GB is full; the least recently used image is evicted.
     tell(
         &mut m,
         5,
--- a/crates/emulator/tests/troubles.rs
+++ b/crates/emulator/tests/troubles.rs
@@ -1,5 +1,5 @@
-//! Each trouble of users, reports and commands does what its description says, against
-//! controllers that are written out here.
+//! Each fault that concerns users, heartbeats and commands has its described effect, tested
+//! against controllers emulated here.
 
 use cherrywood_checker::What;
 use cherrywood_checker::history::{Ask, Off};
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A report, when it came and at which controller.
+/// A received heartbeat, its time and its controller.
 #[derive(Debug, Clone)]
 struct Came {
     at_s: f64,
@@ -28,16 +28,16 @@
     report: Heartbeat,
 }
 
-/// Controllers that share one memory: they accept what has every field and fits, start
-/// its tasks on any machine that reports, and believe every report.
+/// State shared by all test controllers: they accept every complete submission that fits,
+/// start its tasks on any machine that sends heartbeats, and believe every heartbeat.
 #[derive(Debug, Default)]
 struct Memory {
     jobs: BTreeMap<String, (Submission, JobState)>,
     done: BTreeMap<String, u32>,
-    /// Jobs whose tasks were given to a machine.
+    /// Jobs whose tasks were placed on a machine.
     given: BTreeSet<String>,
     came: Vec<Came>,
-    /// Are tasks started by answers to reports?
+    /// Whether responses to heartbeats start tasks.
     starts: bool,
 }
 
@@ -125,7 +125,7 @@
     nodes: Vec<Arc<Proc>>,
 }
 
-/// The controllers here aren't hit by troubles.
+/// Ignores faults of controllers.
 struct Unhurt;
 
 impl Nodes for Unhurt {
@@ -212,7 +212,8 @@
         self.world.look(|history, _| all(&history.events))
     }
 
-    /// A request of the first controller, and whether an answer came within so many s.
+    /// Sends a request from the first controller; `None` if no response came within
+    /// `wait_s`.
     async fn ask(&self, to: SocketAddr, path: &str, body: &[u8], wait_s: f64) -> Option<u16> {
         let host = self.nodes[0].host();
         let mut stream = host.connect(to).await.ok()?;
@@ -220,7 +221,7 @@
         Some(host.timeout(wait_s, work).await.ok()?.ok()?.status)
     }
 
-    /// Says in the state service that this controller leads.
+    /// Writes the leader key of the state service: this controller leads.
     async fn lead(&self, node: usize) {
         let value = LeaderRecord {
             leader: self.world.node_name(node),
@@ -243,7 +244,7 @@
     }
 }
 
-/// Plays in virtual time.
+/// Runs a test in virtual time.
 fn play<F: Future<Output = ()>>(text: &str, test: impl FnOnce(Stage) -> F) {
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -346,7 +347,7 @@
             incarnation: session,
             commands,
         });
-        // Its lease ended at 50 s: the command comes from the session before.
+        // The lease expired at 50 s, so the command may carry the previous incarnation.
         let told = stage.ask(to, "/orders", &orders, 2.0).await;
         assert!(matches!(told, Some(200 | 409)), "{told:?}");
         until(90.0, &stage).await;
