--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -4,8 +4,8 @@
 use crate::fabric::{Role, lock};
 use crate::machine::Traits;
 use crate::proc::Proc;
-use crate::state::named;
-use crate::worker::{self, Worker, up};
+use crate::state::with_address;
+use crate::worker::{self, Worker, record_up};
 use crate::world::World;
 use cherrywood_checker::What;
 use cherrywood_net::Runtime;
@@ -28,56 +28,56 @@
 use std::time::Duration;
 
 /// Most machines in one rental, names in one deletion, and machines in one page.
-const RENT_MOST: u32 = 50;
-const DELETE_MOST: usize = 100;
-const PAGE_MOST: usize = 500;
+const MAX_RENTAL_MACHINES: u32 = 50;
+const MAX_DELETED_NAMES: usize = 100;
+const MAX_PAGE_MACHINES: usize = 500;
 /// Burst of requests, in seconds of the request rate.
 const BURST_S: f64 = 2.0;
 /// Least time that is charged for a deleted machine, s.
-const LEAST_S: f64 = 60.0;
+const MIN_CHARGED_S: f64 = 60.0;
 /// Usual boot duration, in multiples of the listed boot time; and that of a late boot.
-const BOOT_USUAL: (f64, f64) = (0.6, 1.5);
-const BOOT_LATE: (f64, f64) = (2.0, 5.0);
+const BOOT_USUAL_FACTOR: (f64, f64) = (0.6, 1.5);
+const BOOT_LATE_FACTOR: (f64, f64) = (2.0, 5.0);
 /// Share of machines that boot at once, and the range of their boot duration, s.
-const BOOT_AT_ONCE: f64 = 0.02;
+const BOOT_AT_ONCE_SHARE: f64 = 0.02;
 const BOOT_AT_ONCE_S: (f64, f64) = (0.5, 2.0);
 /// Fraction by which the image fetch rates of machines differ.
-const FETCH_DIFFERS: f64 = 0.33;
+const FETCH_RATE_VARIATION: f64 = 0.33;
 /// Seconds for which a dead machine stays listed as running.
 const DEAD_LISTED_S: f64 = 30.0;
 /// Share of list responses that are up to twice as old as usual.
-const LIST_OLD: f64 = 0.15;
+const OLD_LIST_SHARE: f64 = 0.15;
 /// Seconds between two changes of the spot prices.
-const PRICE_EVERY_S: f64 = 30.0;
+const PRICE_INTERVAL_S: f64 = 30.0;
 /// Fraction by which a spot notice may be longer or shorter.
-const NOTICE_DIFFERS: f64 = 0.5;
+const NOTICE_VARIATION: f64 = 0.5;
 /// Most connections from controllers.
 const CONNECTIONS: usize = 10_000;
 
-struct Rented {
+struct RentedMachine {
     kind: MachineType,
     zone: String,
     spot: bool,
     /// Time of each transition, s of the scenario; `None` before it happens.
-    rented: f64,
-    up: Option<f64>,
-    died: Option<f64>,
-    gone: Option<f64>,
+    rented_at: f64,
+    up_at: Option<f64>,
+    died_at: Option<f64>,
+    gone_at: Option<f64>,
     worker: Option<Arc<Worker>>,
 }
 
-impl Rented {
+impl RentedMachine {
     /// Whether the machine is still charged and occupies capacity.
-    fn held(&self) -> bool {
-        self.died.is_none() && self.gone.is_none()
+    fn is_held(&self) -> bool {
+        self.died_at.is_none() && self.gone_at.is_none()
     }
 }
 
 struct Core {
     rng: Pcg64,
     rate: TokenBucket,
-    machines: BTreeMap<String, Rented>,
-    hires: BTreeMap<String, Vec<String>>,
+    machines: BTreeMap<String, RentedMachine>,
+    rentals: BTreeMap<String, Vec<String>>,
     next: u64,
     /// Spot prices by machine type, as (time, factor of the nominal price) in order of time.
     prices: BTreeMap<String, Vec<(f64, f64)>>,
@@ -100,7 +100,7 @@
 
 impl Cloud {
     pub async fn start(world: &Arc<World>) -> io::Result<Arc<Cloud>> {
-        let proc = world.region("cloud", Role::Cloud);
+        let proc = world.region_process("cloud", Role::Cloud);
         let d = &world.scenario.deployment;
         let prices = d.machine_types.iter();
         let me = Arc::new(Cloud {
@@ -110,18 +110,18 @@
                 rng: world.rng("cloud"),
                 rate: TokenBucket::new(d.cloud.rps, BURST_S),
                 machines: BTreeMap::new(),
-                hires: BTreeMap::new(),
+                rentals: BTreeMap::new(),
                 next: 1,
                 prices: prices.map(|t| (t.name.clone(), vec![(0.0, 1.0)])).collect(),
             }),
             proc,
         });
         let at = world.addresses.cloud;
-        let listener = me.host.bind(at).await.map_err(|e| named(at, &e))?;
+        let listener = me.host.bind(at).await.map_err(|e| with_address(at, &e))?;
         let own = me.clone();
         let on_request = Arc::new(move |request, _: SocketAddr| {
             let own = own.clone();
-            async move { own.answer(request).await }
+            async move { own.respond(request).await }
         });
         let serve = server::serve(me.host.clone(), listener, CONNECTIONS, on_request);
         me.host.spawn(serve);
@@ -142,7 +142,7 @@
 
     async fn move_prices(&self) {
         loop {
-            self.host.sleep(PRICE_EVERY_S).await;
+            self.host.sleep(PRICE_INTERVAL_S).await;
             let most = self.world.scenario.deployment.cloud.price_moves;
             let now = self.world.now_s();
             let core = &mut *lock(&self.core);
@@ -157,14 +157,14 @@
 
     // --- requests ---
 
-    async fn answer(self: &Arc<Self>, request: Request) -> Response {
+    async fn respond(self: &Arc<Self>, request: Request) -> Response {
         let d = &self.world.scenario.deployment.cloud;
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
         let half = d.latency_ms / 2000.0 * (0.5 + self.chance());
         self.host.sleep(half).await;
         let down = |t: &Trouble| matches!(t, Trouble::CloudOutage(_)).then_some(());
         if !self.world.now_in(down).is_empty() {
-            return refuse("trouble");
+            return unavailable("trouble");
         }
         if !lock(&self.core).rate.try_take(1.0, self.host.now()) {
             return Response::empty(429);
@@ -179,7 +179,7 @@
                 self.host.sleep(by_s).await;
             }
         }
-        let answer = match (request.method.as_str(), path) {
+        let response = match (request.method.as_str(), path) {
             ("GET", "/machine_types") => self.types(),
             ("GET", "/machines") => self.list(query),
             ("POST", "/machines") => match decode::<RentalRequest>(&request.body) {
@@ -187,9 +187,9 @@
                 Err(_) => Response::empty(400),
             },
             ("POST", "/machines/delete") => match decode::<MachineNames>(&request.body) {
-                Ok(names) if names.machines.len() <= DELETE_MOST => {
+                Ok(names) if names.machines.len() <= MAX_DELETED_NAMES => {
                     for name in &names.machines {
-                        self.take(name, "deleted");
+                        self.remove(name, "deleted");
                     }
                     Response::new(200, encode(&MachineNames { machines: vec![] }))
                 }
@@ -198,7 +198,7 @@
             _ => Response::empty(404),
         };
         self.host.sleep(half).await;
-        answer
+        response
     }
 
     fn chance(&self) -> f64 {
@@ -240,9 +240,9 @@
         let from = field("from").unwrap_or_default();
         let limit: usize = field("limit")
             .and_then(|l| l.parse().ok())
-            .unwrap_or(PAGE_MOST);
+            .unwrap_or(MAX_PAGE_MACHINES);
         let mut lag = self.world.scenario.deployment.cloud.list_lag_s;
-        if self.chance() < LIST_OLD {
+        if self.chance() < OLD_LIST_SHARE {
             lag *= 1.0 + self.chance();
         }
         let stale = |t: &Trouble| match t {
@@ -254,18 +254,18 @@
         }
         let as_of = self.world.now_s() - lag;
         let core = lock(&self.core);
-        let there = core
+        let listed = core
             .machines
             .iter()
             .filter(|(name, m)| {
                 name.as_str() > from.as_str()
-                    && m.rented <= as_of
-                    && m.gone.is_none_or(|t| t > as_of)
+                    && m.rented_at <= as_of
+                    && m.gone_at.is_none_or(|t| t > as_of)
             })
             .map(|(name, m)| {
-                let state = if m.died.is_some_and(|t| t + DEAD_LISTED_S <= as_of) {
+                let state = if m.died_at.is_some_and(|t| t + DEAD_LISTED_S <= as_of) {
                     ListedMachineState::Failed
-                } else if m.up.is_some_and(|t| t <= as_of) {
+                } else if m.up_at.is_some_and(|t| t <= as_of) {
                     ListedMachineState::Running
                 } else {
                     ListedMachineState::Booting
@@ -276,32 +276,32 @@
                     zone: m.zone.clone(),
                     spot: m.spot,
                     state,
-                    age_s: as_of - m.rented,
+                    age_s: as_of - m.rented_at,
                     address: worker::endpoint(&self.world, name),
                 }
             });
-        let limit = limit.clamp(1, PAGE_MOST);
-        let mut machines: Vec<ListedMachine> = there.take(limit + 1).collect();
+        let limit = limit.clamp(1, MAX_PAGE_MACHINES);
+        let mut machines: Vec<ListedMachine> = listed.take(limit + 1).collect();
         let more = machines.len() > limit;
         machines.truncate(limit);
         Response::new(200, encode(&MachineListPage { machines, more }))
     }
 
     fn rent(self: &Arc<Self>, rent: &RentalRequest) -> Response {
-        if let Some(names) = lock(&self.core).hires.get(&rent.request_id) {
+        if let Some(names) = lock(&self.core).rentals.get(&rent.request_id) {
             let machines = names.clone();
             return Response::new(200, encode(&MachineNames { machines }));
         }
         let d = &self.world.scenario.deployment;
         let kind = d.machine_types.iter().find(|t| t.name == rent.machine_type);
-        let place = d
+        let capacity = d
             .capacity
             .iter()
             .find(|c| c.kind == rent.machine_type && c.zone == rent.zone);
-        let (Some(_), Some(place)) = (kind, place) else {
+        let (Some(_), Some(capacity)) = (kind, capacity) else {
             return Response::empty(400);
         };
-        if rent.count == 0 || rent.count > RENT_MOST {
+        if rent.count == 0 || rent.count > MAX_RENTAL_MACHINES {
             return Response::empty(400);
         }
         let full = |t: &Trouble| match t {
@@ -312,11 +312,15 @@
         let full = full
             .iter()
             .any(|z| z.as_ref().is_none_or(|z| *z == rent.zone));
-        let most = if rent.spot { place.spot } else { place.count };
+        let most = if rent.spot {
+            capacity.spot
+        } else {
+            capacity.count
+        };
         let held = {
             let core = lock(&self.core);
-            let same = |m: &&Rented| {
-                m.held()
+            let same = |m: &&RentedMachine| {
+                m.is_held()
                     && m.kind.name == rent.machine_type
                     && m.zone == rent.zone
                     && m.spot == rent.spot
@@ -325,7 +329,7 @@
         };
         let free = if full { 0 } else { most.saturating_sub(held) };
         if free == 0 {
-            return refuse("no capacity");
+            return unavailable("no capacity");
         }
         let mut machines = Vec::new();
         for _ in 0..rent.count.min(free) {
@@ -334,7 +338,7 @@
             machines.push(name);
         }
         lock(&self.core)
-            .hires
+            .rentals
             .insert(rent.request_id.clone(), machines.clone());
         Response::new(200, encode(&MachineNames { machines }))
     }
@@ -342,14 +346,14 @@
     fn add(&self, kind: &str, zone: &str, spot: bool, request: &str) -> String {
         let types = &self.world.scenario.deployment.machine_types;
         let found = types.iter().find(|t| t.name == kind);
-        let machine = Rented {
+        let machine = RentedMachine {
             kind: found.cloned().unwrap_or_default(),
             zone: zone.to_string(),
             spot,
-            rented: self.world.now_s(),
-            up: None,
-            died: None,
-            gone: None,
+            rented_at: self.world.now_s(),
+            up_at: None,
+            died_at: None,
+            gone_at: None,
             worker: None,
         };
         let name = {
@@ -371,19 +375,19 @@
 
     /// Boots a machine after `after_s` seconds, or after a drawn duration.
     fn boot(self: &Arc<Self>, name: &str, after_s: Option<f64>) {
-        let drawn = self.boot_s(name);
+        let drawn = self.draw_boot_s(name);
         let Some(s) = after_s.or(drawn) else {
             return;
         };
         let (own, name) = (self.clone(), name.to_string());
         self.host.spawn(async move {
             own.host.sleep(s).await;
-            own.come_up(&name).await;
+            own.finish_boot(&name).await;
         });
     }
 
     /// Draws the boot duration of a machine, s; `None` if it never boots.
-    fn boot_s(&self, name: &str) -> Option<f64> {
+    fn draw_boot_s(&self, name: &str) -> Option<f64> {
         let boots = |t: &Trouble| match t {
             Trouble::BootsLate(t) => Some((t.late, t.times, t.never, t.zone.clone())),
             _ => None,
@@ -403,28 +407,29 @@
             return None;
         }
         if chance < never + late {
-            let by = times.unwrap_or_else(|| between(rng, BOOT_LATE));
+            let by = times.unwrap_or_else(|| between(rng, BOOT_LATE_FACTOR));
             return Some(m.kind.boot_s * by);
         }
-        if chance > 1.0 - BOOT_AT_ONCE {
+        if chance > 1.0 - BOOT_AT_ONCE_SHARE {
             return Some(between(rng, BOOT_AT_ONCE_S));
         }
-        Some(m.kind.boot_s * between(rng, BOOT_USUAL))
+        Some(m.kind.boot_s * between(rng, BOOT_USUAL_FACTOR))
     }
 
-    async fn come_up(self: &Arc<Self>, name: &str) {
+    async fn finish_boot(self: &Arc<Self>, name: &str) {
         let w = &self.world.scenario.deployment.workers;
         let (kind, zone, spot, traits) = {
             let core = &mut *lock(&self.core);
-            let Some(m) = core.machines.get(name).filter(|m| m.held()) else {
+            let Some(m) = core.machines.get(name).filter(|m| m.is_held()) else {
                 return;
             };
             let differs = |rng: &mut Pcg64, by: f64| between(rng, (1.0 - by, 1.0 + by));
             let traits = Traits {
                 speed: differs(&mut core.rng, w.speed_differs),
-                fetch_gb_per_s: m.kind.fetch_gb_per_s * differs(&mut core.rng, FETCH_DIFFERS),
+                fetch_gb_per_s: m.kind.fetch_gb_per_s
+                    * differs(&mut core.rng, FETCH_RATE_VARIATION),
                 fetch_shared: w.fetch_shared,
-                slow: 1.0,
+                slowdown: 1.0,
                 faulty: false,
             };
             (m.kind.clone(), m.zone.clone(), m.spot, traits)
@@ -437,14 +442,14 @@
                 return;
             }
         };
-        up(&self.world, name);
+        record_up(&self.world, name);
         let reclaim = {
             let mut core = lock(&self.core);
             let chance: f64 = core.rng.random();
             let Some(m) = core.machines.get_mut(name) else {
                 return;
             };
-            m.up = Some(self.world.now_s());
+            m.up_at = Some(self.world.now_s());
             m.worker = Some(worker);
             let per_s = self.world.scenario.deployment.spot.per_hour / 3600.0;
             (m.spot && per_s > 0.0).then(|| -libm::log(1.0 - chance) / per_s)
@@ -468,25 +473,25 @@
         if notice_s > 0.0
             && let Some(worker) = worker
         {
-            let differs = (1.0 - NOTICE_DIFFERS, 1.0 + NOTICE_DIFFERS);
+            let differs = (1.0 - NOTICE_VARIATION, 1.0 + NOTICE_VARIATION);
             let s = notice_s * between(&mut lock(&self.core).rng, differs);
-            worker.notice(s);
+            worker.give_spot_notice(s);
             drop(worker);
             wait(s).await;
         }
-        self.take(name, "taken");
+        self.remove(name, "taken");
     }
 
     fn worker(&self, name: &str) -> Option<Arc<Worker>> {
         let core = lock(&self.core);
-        let m = core.machines.get(name).filter(|m| m.held())?;
+        let m = core.machines.get(name).filter(|m| m.is_held())?;
         m.worker.clone()
     }
 
     /// Returns the cost of a machine until `now`, for `least_s` seconds at least; `least_s`
     /// is the minimum charge for deleted machines.
-    fn cost(core: &Core, m: &Rented, now: f64, least_s: f64) -> f64 {
-        let until = now.max(m.rented + least_s);
+    fn cost(core: &Core, m: &RentedMachine, now: f64, least_s: f64) -> f64 {
+        let until = now.max(m.rented_at + least_s);
         let nominal = if m.spot {
             m.kind.spot_price.unwrap_or(m.kind.price)
         } else {
@@ -500,40 +505,40 @@
         let mut cost = 0.0;
         for (i, (at, factor)) in steps.iter().enumerate() {
             let end = steps.get(i + 1).map_or(f64::INFINITY, |s| s.0);
-            let s = until.min(end) - m.rented.max(*at);
+            let s = until.min(end) - m.rented_at.max(*at);
             cost += s.max(0.0) * nominal * factor / 3600.0;
         }
         cost
     }
 
     /// Removes a machine with everything on it.
-    fn take(&self, name: &str, why: &str) {
+    fn remove(&self, name: &str, why: &str) {
         let (worker, cost) = {
             let mut core = lock(&self.core);
             let now = self.world.now_s();
             let Some(m) = core.machines.get(name) else {
                 return;
             };
-            if m.gone.is_some() {
+            if m.gone_at.is_some() {
                 return;
             }
-            let least = if why == "deleted" { LEAST_S } else { 0.0 };
-            let cost = m.held().then(|| Cloud::cost(&core, m, now, least));
+            let least = if why == "deleted" { MIN_CHARGED_S } else { 0.0 };
+            let cost = m.is_held().then(|| Cloud::cost(&core, m, now, least));
             let Some(m) = core.machines.get_mut(name) else {
                 return;
             };
-            m.gone = Some(now);
+            m.gone_at = Some(now);
             (m.worker.take(), cost)
         };
         if let Some(worker) = worker {
-            worker.die();
+            worker.power_off();
         }
         if let Some(cost) = cost {
-            self.gone(name, why, cost);
+            self.record_gone(name, why, cost);
         }
     }
 
-    fn gone(&self, name: &str, why: &str, cost: f64) {
+    fn record_gone(&self, name: &str, why: &str, cost: f64) {
         self.world.record(What::Gone {
             machine: name.to_string(),
             why: why.to_string(),
@@ -542,42 +547,42 @@
     }
 
     /// Powers a machine off with everything on it; the list shows it as failed later.
-    pub fn die(&self, name: &str) {
+    pub fn power_off(&self, name: &str) {
         let (worker, cost) = {
             let mut core = lock(&self.core);
             let now = self.world.now_s();
-            let Some(m) = core.machines.get(name).filter(|m| m.held()) else {
+            let Some(m) = core.machines.get(name).filter(|m| m.is_held()) else {
                 return;
             };
             let cost = Cloud::cost(&core, m, now, 0.0);
             let Some(m) = core.machines.get_mut(name) else {
                 return;
             };
-            m.died = Some(now);
+            m.died_at = Some(now);
             (m.worker.take(), cost)
         };
         if let Some(worker) = worker {
-            worker.die();
+            worker.power_off();
         }
-        self.gone(name, "died", cost);
+        self.record_gone(name, "died", cost);
     }
 
     /// Returns all machines at the end of the scenario.
     pub fn close(&self) {
         let names: Vec<String> = {
             let core = lock(&self.core);
-            let held = core.machines.iter().filter(|(_, m)| m.held());
+            let held = core.machines.iter().filter(|(_, m)| m.is_held());
             held.map(|(name, _)| name.clone()).collect()
         };
         for name in names {
-            self.take(&name, "the scenario is over");
+            self.remove(&name, "the scenario is over");
         }
     }
 
     // --- for fault injection and observers ---
 
     /// Draws up to `count` machines that are up, from the seed.
-    pub fn draw(
+    pub fn draw_machines(
         &self,
         count: u32,
         zone: Option<&str>,
@@ -587,7 +592,7 @@
         let mut up: Vec<(String, Arc<Worker>)> = core
             .machines
             .iter()
-            .filter(|(_, m)| m.held() && which(m.spot))
+            .filter(|(_, m)| m.is_held() && which(m.spot))
             .filter(|(_, m)| zone.is_none_or(|z| z == m.zone))
             .filter_map(|(name, m)| Some((name.clone(), m.worker.clone()?)))
             .collect();
@@ -604,12 +609,12 @@
     pub fn fleet(&self) -> BTreeMap<(String, String, bool), [usize; 4]> {
         let core = lock(&self.core);
         let mut fleet: BTreeMap<_, [usize; 4]> = BTreeMap::new();
-        for m in core.machines.values().filter(|m| m.held()) {
+        for m in core.machines.values().filter(|m| m.is_held()) {
             let key = (m.zone.clone(), m.kind.name.clone(), m.spot);
             let n = fleet.entry(key).or_default();
             match &m.worker {
                 Some(w) => {
-                    let (running, fetching) = w.load();
+                    let (running, fetching) = w.task_counts();
                     n[1] += 1;
                     n[2] += running;
                     n[3] += fetching;
@@ -626,18 +631,18 @@
         let now = self.world.now_s();
         let (mut rate, mut spent) = (0.0, 0.0);
         for m in core.machines.values() {
-            let until = m.gone.or(m.died).unwrap_or(now);
+            let until = m.gone_at.or(m.died_at).unwrap_or(now);
             spent += Cloud::cost(&core, m, until, 0.0);
-            if m.held() {
+            if m.is_held() {
                 rate += Cloud::cost(&core, m, now, 0.0)
-                    - Cloud::cost(&core, m, (now - 1.0).max(m.rented), 0.0);
+                    - Cloud::cost(&core, m, (now - 1.0).max(m.rented_at), 0.0);
             }
         }
         (rate * 3600.0, spent)
     }
 }
 
-fn refuse(why: &str) -> Response {
+fn unavailable(why: &str) -> Response {
     let error = why.to_string();
     Response::new(503, encode(&ErrorResponse { error }))
 }
--- a/crates/emulator/src/fabric.rs
+++ b/crates/emulator/src/fabric.rs
@@ -25,10 +25,10 @@
 }
 
 /// Bytes in flight in one direction before a writer must wait.
-const WINDOW: usize = 1 << 20;
+const WINDOW_BYTES: usize = 1 << 20;
 /// Seconds after which a lost packet, or a connection attempt, is sent again.
-const RESEND_S: f64 = 0.2;
-const CONNECT_AGAIN_S: f64 = 1.0;
+const RETRANSMIT_S: f64 = 0.2;
+const CONNECT_RETRY_S: f64 = 1.0;
 
 /// Purpose of a host; paths are broken between roles, zones or single hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,12 +41,12 @@
 }
 
 #[derive(Debug, Clone)]
-struct Place {
+struct HostState {
     role: Role,
     /// `None` for a host of the region, outside all zones.
     zone: Option<String>,
     /// Powered off: the host sends nothing.
-    dead: bool,
+    powered_off: bool,
 }
 
 /// The hosts on one side of a broken path.
@@ -62,23 +62,23 @@
 
 /// The way in which a path is broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Break {
+pub enum PathFault {
     Cut(Cut),
     /// A packet filter: new connections are refused, and existing ones reset.
     Refuse,
 }
 
 #[derive(Debug)]
-struct Broken {
+struct BrokenPath {
     id: u64,
     a: Group,
     b: Group,
-    how: Break,
+    fault: PathFault,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Path {
-    Whole,
+    Open,
     Held,
     Reset,
     Refused,
@@ -96,27 +96,27 @@
 }
 
 #[derive(Debug)]
-struct Net {
+struct NetworkState {
     rng: Pcg64,
     delays: Delays,
-    hosts: BTreeMap<IpAddr, Place>,
+    hosts: BTreeMap<IpAddr, HostState>,
     backlogs: BTreeMap<SocketAddr, Arc<Mutex<Backlog>>>,
     conns: BTreeMap<u64, Weak<Conn>>,
-    broken: Vec<Broken>,
+    broken_paths: Vec<BrokenPath>,
     next_id: u64,
     next_port: u16,
 }
 
 #[derive(Debug)]
-pub struct Fabric {
-    net: Mutex<Net>,
+pub struct Network {
+    state: Mutex<NetworkState>,
     /// Notified when a path is broken or repaired, or a host is powered off.
     changed: Notify,
 }
 
 #[derive(Debug, Default)]
 struct Backlog {
-    waiting: VecDeque<(End, SocketAddr)>,
+    waiting: VecDeque<(Endpoint, SocketAddr)>,
     waker: Option<Waker>,
 }
 
@@ -136,8 +136,8 @@
     /// The sender has closed its side: no segment follows those in the queue.
     closed: bool,
     /// The receiver has closed its side: incoming bytes are discarded.
-    deaf: bool,
-    last: Option<Instant>,
+    reader_closed: bool,
+    last_arrival: Option<Instant>,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
@@ -145,7 +145,7 @@
 #[derive(Debug, Default)]
 struct Pipes {
     /// The direction from the connecting end, and the one to it.
-    way: [Pipe; 2],
+    directions: [Pipe; 2],
     reset: bool,
     silent: bool,
 }
@@ -158,7 +158,7 @@
 
 impl Pipes {
     fn wake(&mut self) {
-        for p in &mut self.way {
+        for p in &mut self.directions {
             for w in [p.reader.take(), p.writer.take()].into_iter().flatten() {
                 w.wake();
             }
@@ -166,37 +166,37 @@
     }
 }
 
-impl Net {
-    fn within(&self, group: &Group, ip: IpAddr) -> bool {
-        let place = self.hosts.get(&ip);
+impl NetworkState {
+    fn contains(&self, group: &Group, ip: IpAddr) -> bool {
+        let host = self.hosts.get(&ip);
         match group {
             Group::Hosts(ips) => ips.contains(&ip),
-            Group::Role(role) => place.is_some_and(|p| p.role == *role),
-            Group::Zone(zone) => place.is_some_and(|p| p.zone.as_ref() == Some(zone)),
-            Group::Outside(zone) => place.is_none_or(|p| p.zone.as_ref() != Some(zone)),
+            Group::Role(role) => host.is_some_and(|p| p.role == *role),
+            Group::Zone(zone) => host.is_some_and(|p| p.zone.as_ref() == Some(zone)),
+            Group::Outside(zone) => host.is_none_or(|p| p.zone.as_ref() != Some(zone)),
             Group::Everyone => true,
         }
     }
 
     fn path(&self, from: IpAddr, to: IpAddr) -> Path {
-        let dead = |ip: &IpAddr| self.hosts.get(ip).is_none_or(|p| p.dead);
-        if dead(&from) || dead(&to) {
+        let powered_off = |ip: &IpAddr| self.hosts.get(ip).is_none_or(|p| p.powered_off);
+        if powered_off(&from) || powered_off(&to) {
             return Path::Silent;
         }
         if from == to {
-            return Path::Whole;
+            return Path::Open;
         }
-        let mut worst = Path::Whole;
-        for b in &self.broken {
-            let here = |a: &Group, b: &Group| self.within(a, from) && self.within(b, to);
+        let mut worst = Path::Open;
+        for b in &self.broken_paths {
+            let here = |a: &Group, b: &Group| self.contains(a, from) && self.contains(b, to);
             if !here(&b.a, &b.b) && !here(&b.b, &b.a) {
                 continue;
             }
-            match b.how {
-                Break::Cut(Cut::Reset) => return Path::Reset,
-                Break::Cut(Cut::Hold) => worst = Path::Held,
-                Break::Refuse if worst == Path::Whole => worst = Path::Refused,
-                Break::Refuse => {}
+            match b.fault {
+                PathFault::Cut(Cut::Reset) => return Path::Reset,
+                PathFault::Cut(Cut::Hold) => worst = Path::Held,
+                PathFault::Refuse if worst == Path::Open => worst = Path::Refused,
+                PathFault::Refuse => {}
             }
         }
         worst
@@ -215,22 +215,22 @@
         };
         let mut ms = base * (1.0 + d.jitter * self.rng.random::<f64>());
         while d.loss > 0.0 && self.rng.random::<f64>() < d.loss {
-            ms += RESEND_S * 1000.0;
+            ms += RETRANSMIT_S * 1000.0;
         }
         Duration::from_secs_f64(ms / 1000.0)
     }
 }
 
-impl Fabric {
-    pub fn new(seed: u64, delays: Delays) -> Arc<Fabric> {
-        Arc::new(Fabric {
-            net: Mutex::new(Net {
+impl Network {
+    pub fn new(seed: u64, delays: Delays) -> Arc<Network> {
+        Arc::new(Network {
+            state: Mutex::new(NetworkState {
                 rng: Pcg64::seed_from_u64(seed),
                 delays,
                 hosts: BTreeMap::new(),
                 backlogs: BTreeMap::new(),
                 conns: BTreeMap::new(),
-                broken: Vec::new(),
+                broken_paths: Vec::new(),
                 next_id: 1,
                 next_port: 20_000,
             }),
@@ -239,24 +239,24 @@
     }
 
     /// Adds a powered-on host; replaces one of the same address.
-    pub fn join(&self, ip: IpAddr, role: Role, zone: Option<&str>) {
-        let place = Place {
+    pub fn add_host(&self, ip: IpAddr, role: Role, zone: Option<&str>) {
+        let host = HostState {
             role,
             zone: zone.map(str::to_string),
-            dead: false,
+            powered_off: false,
         };
-        lock(&self.net).hosts.insert(ip, place);
+        lock(&self.state).hosts.insert(ip, host);
     }
 
     /// Powers a host off: its connections become silent, without being closed.
-    pub fn cut_power(&self, ip: IpAddr) {
+    pub fn power_off(&self, ip: IpAddr) {
         let conns = {
-            let mut net = lock(&self.net);
-            if let Some(place) = net.hosts.get_mut(&ip) {
-                place.dead = true;
+            let mut net = lock(&self.state);
+            if let Some(host) = net.hosts.get_mut(&ip) {
+                host.powered_off = true;
             }
             net.backlogs.retain(|at, _| at.ip() != ip);
-            self.crossing(&mut net, |c| c.ends.contains(&ip))
+            self.live_connections(&mut net, |c| c.ends.contains(&ip))
         };
         for c in conns {
             let mut pipes = lock(&c.pipes);
@@ -266,25 +266,29 @@
         self.changed.notify_waiters();
     }
 
-    fn crossing(&self, net: &mut Net, which: impl Fn(&Conn) -> bool) -> Vec<Arc<Conn>> {
+    fn live_connections(
+        &self,
+        net: &mut NetworkState,
+        which: impl Fn(&Conn) -> bool,
+    ) -> Vec<Arc<Conn>> {
         net.conns.retain(|_, c| c.strong_count() > 0);
         let all = net.conns.values().filter_map(Weak::upgrade);
         all.filter(|c| which(c)).collect()
     }
 
-    /// Breaks the paths between two groups until [`Fabric::mend`] is called with the
+    /// Breaks the paths between two groups until [`Network::repair`] is called with the
     /// returned id.
-    pub fn cut(&self, a: Group, b: Group, how: Break) -> u64 {
+    pub fn break_paths(&self, a: Group, b: Group, fault: PathFault) -> u64 {
         let (id, reset) = {
-            let mut net = lock(&self.net);
+            let mut net = lock(&self.state);
             let id = net.next_id;
             net.next_id += 1;
-            net.broken.push(Broken { id, a, b, how });
+            net.broken_paths.push(BrokenPath { id, a, b, fault });
             let mut reset = Vec::new();
-            if how != Break::Cut(Cut::Hold) {
-                let all = self.crossing(&mut net, |_| true);
-                let broken = [Path::Reset, Path::Refused];
-                let ends = |c: &Arc<Conn>| broken.contains(&net.path(c.ends[0], c.ends[1]));
+            if fault != PathFault::Cut(Cut::Hold) {
+                let all = self.live_connections(&mut net, |_| true);
+                let ended = [Path::Reset, Path::Refused];
+                let ends = |c: &Arc<Conn>| ended.contains(&net.path(c.ends[0], c.ends[1]));
                 reset.extend(all.into_iter().filter(ends));
             }
             (id, reset)
@@ -299,25 +303,28 @@
     }
 
     /// Repairs the paths broken under this id; held segments arrive one delay later.
-    pub fn mend(&self, id: u64) {
+    pub fn repair(&self, id: u64) {
         {
-            let mut net = lock(&self.net);
-            net.broken.retain(|b| b.id != id);
-            let all = self.crossing(&mut net, |_| true);
+            let mut net = lock(&self.state);
+            net.broken_paths.retain(|b| b.id != id);
+            let all = self.live_connections(&mut net, |_| true);
             for c in all {
-                for way in 0..2 {
-                    let (from, to) = (c.ends[way], c.ends[1 - way]);
-                    let held = lock(&c.pipes).way[way].queue.iter().any(|s| s.at.is_none());
-                    if !held || net.path(from, to) != Path::Whole {
+                for direction in 0..2 {
+                    let (from, to) = (c.ends[direction], c.ends[1 - direction]);
+                    let held = lock(&c.pipes).directions[direction]
+                        .queue
+                        .iter()
+                        .any(|s| s.at.is_none());
+                    if !held || net.path(from, to) != Path::Open {
                         continue;
                     }
                     let at = Instant::now() + net.delay(from, to);
                     let mut pipes = lock(&c.pipes);
-                    let pipe = &mut pipes.way[way];
+                    let pipe = &mut pipes.directions[direction];
                     for s in pipe.queue.iter_mut().filter(|s| s.at.is_none()) {
                         s.at = Some(at);
                     }
-                    pipe.last = Some(at);
+                    pipe.last_arrival = Some(at);
                     if let Some(w) = pipe.reader.take() {
                         w.wake();
                     }
@@ -330,7 +337,7 @@
     /// Resets all connections between two hosts, as the load balancer does with users'
     /// connections.
     pub fn reset_between(&self, a: IpAddr, b: IpAddr) {
-        let conns = self.crossing(&mut lock(&self.net), |c| {
+        let conns = self.live_connections(&mut lock(&self.state), |c| {
             c.ends.contains(&a) && c.ends.contains(&b)
         });
         for c in conns {
@@ -341,14 +348,14 @@
     }
 
     pub fn bind(self: &Arc<Self>, at: SocketAddr) -> io::Result<Listener> {
-        let mut net = lock(&self.net);
+        let mut net = lock(&self.state);
         if net.backlogs.contains_key(&at) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
         let backlog = Arc::new(Mutex::new(Backlog::default()));
         net.backlogs.insert(at, backlog.clone());
-        Ok(Listener::Emulated(Box::new(Bound {
-            fabric: self.clone(),
+        Ok(Listener::Emulated(Box::new(NetworkListener {
+            network: self.clone(),
             at,
             backlog,
         })))
@@ -358,26 +365,26 @@
     pub async fn connect(self: Arc<Self>, from: IpAddr, to: SocketAddr) -> io::Result<Stream> {
         loop {
             let changed = self.changed.notified();
-            let path = lock(&self.net).path(from, to.ip());
+            let path = lock(&self.state).path(from, to.ip());
             match path {
-                Path::Whole => {}
-                Path::Refused => return self.refused(from, to).await,
+                Path::Open => {}
+                Path::Refused => return self.refuse_connection(from, to).await,
                 Path::Held | Path::Reset | Path::Silent => {
                     // The connection packet is retransmitted from time to time; an abandoned
                     // attempt does not connect later.
                     changed.await;
-                    sleep(Duration::from_secs_f64(CONNECT_AGAIN_S)).await;
+                    sleep(Duration::from_secs_f64(CONNECT_RETRY_S)).await;
                     continue;
                 }
             }
-            let there = lock(&self.net).delay(from, to.ip());
+            let there = lock(&self.state).delay(from, to.ip());
             sleep(there).await;
             let end = match self.establish(from, to) {
                 Ok(Some(end)) => end,
                 Ok(None) => continue,
-                Err(()) => return self.refused(from, to).await,
+                Err(()) => return self.refuse_connection(from, to).await,
             };
-            let back = lock(&self.net).delay(to.ip(), from);
+            let back = lock(&self.state).delay(to.ip(), from);
             sleep(back).await;
             return Ok(Stream::Emulated(Box::new(end)));
         }
@@ -385,9 +392,9 @@
 
     /// Returns the caller's end of a new connection, whose other end waits to be accepted.
     /// `None` if the path broke meanwhile, an error if nobody listens.
-    fn establish(self: &Arc<Self>, from: IpAddr, to: SocketAddr) -> Result<Option<End>, ()> {
-        let mut net = lock(&self.net);
-        if net.path(from, to.ip()) != Path::Whole {
+    fn establish(self: &Arc<Self>, from: IpAddr, to: SocketAddr) -> Result<Option<Endpoint>, ()> {
+        let mut net = lock(&self.state);
+        if net.path(from, to.ip()) != Path::Open {
             return Ok(None);
         }
         let backlog = net.backlogs.get(&to).cloned().ok_or(())?;
@@ -403,8 +410,8 @@
         if id.is_multiple_of(1024) {
             net.conns.retain(|_, c| c.strong_count() > 0);
         }
-        let end = |side| End {
-            fabric: self.clone(),
+        let end = |side| Endpoint {
+            network: self.clone(),
             conn: conn.clone(),
             side,
             timer: None,
@@ -417,20 +424,20 @@
         Ok(Some(end(0)))
     }
 
-    async fn refused(&self, from: IpAddr, to: SocketAddr) -> io::Result<Stream> {
-        let back = lock(&self.net).delay(to.ip(), from);
+    async fn refuse_connection(&self, from: IpAddr, to: SocketAddr) -> io::Result<Stream> {
+        let back = lock(&self.state).delay(to.ip(), from);
         sleep(back).await;
         Err(io::ErrorKind::ConnectionRefused.into())
     }
 }
 
-struct Bound {
-    fabric: Arc<Fabric>,
+struct NetworkListener {
+    network: Arc<Network>,
     at: SocketAddr,
     backlog: Arc<Mutex<Backlog>>,
 }
 
-impl EmulatedListener for Bound {
+impl EmulatedListener for NetworkListener {
     fn poll_accept(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<(Stream, SocketAddr)>> {
         let mut backlog = lock(&self.backlog);
         match backlog.waiting.pop_front() {
@@ -447,9 +454,9 @@
     }
 }
 
-impl Drop for Bound {
+impl Drop for NetworkListener {
     fn drop(&mut self) {
-        let mut net = lock(&self.fabric.net);
+        let mut net = lock(&self.network.state);
         let ours = net.backlogs.get(&self.at);
         if ours.is_some_and(|b| Arc::ptr_eq(b, &self.backlog)) {
             net.backlogs.remove(&self.at);
@@ -463,14 +470,14 @@
 
 /// One end of a connection.
 #[derive(Debug)]
-struct End {
-    fabric: Arc<Fabric>,
+struct Endpoint {
+    network: Arc<Network>,
     conn: Arc<Conn>,
     side: usize,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl AsyncRead for End {
+impl AsyncRead for Endpoint {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -482,7 +489,7 @@
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
         let silent = pipes.silent;
-        let pipe = &mut pipes.way[1 - me.side];
+        let pipe = &mut pipes.directions[1 - me.side];
         pipe.reader = Some(cx.waker().clone());
         if silent {
             return Poll::Pending;
@@ -526,29 +533,29 @@
     }
 }
 
-impl End {
+impl Endpoint {
     fn send(&self, bytes: Vec<u8>, last: bool) {
         let (from, to) = (self.conn.ends[self.side], self.conn.ends[1 - self.side]);
         let at = {
-            let mut net = lock(&self.fabric.net);
+            let mut net = lock(&self.network.state);
             match net.path(from, to) {
                 Path::Silent => return,
                 Path::Held | Path::Reset => None,
-                Path::Whole | Path::Refused => Some(Instant::now() + net.delay(from, to)),
+                Path::Open | Path::Refused => Some(Instant::now() + net.delay(from, to)),
             }
         };
         let mut pipes = lock(&self.conn.pipes);
-        let pipe = &mut pipes.way[self.side];
+        let pipe = &mut pipes.directions[self.side];
         // Packets arrive in order: a held packet holds all packets behind it.
         let held = pipe.queue.back().is_some_and(|s| s.at.is_none());
         let at = at
             .filter(|_| !held)
-            .map(|at| pipe.last.map_or(at, |l| l.max(at)));
+            .map(|at| pipe.last_arrival.map_or(at, |l| l.max(at)));
         if at.is_some() {
-            pipe.last = at;
+            pipe.last_arrival = at;
         }
         pipe.buffered += bytes.len();
-        if !pipe.deaf {
+        if !pipe.reader_closed {
             let segment = Segment { at, bytes, read: 0 };
             pipe.queue.push_back(segment);
         }
@@ -559,7 +566,7 @@
     }
 }
 
-impl AsyncWrite for End {
+impl AsyncWrite for Endpoint {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -571,14 +578,14 @@
             if pipes.reset {
                 return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
             }
-            let pipe = &mut pipes.way[me.side];
+            let pipe = &mut pipes.directions[me.side];
             if pipe.closed {
                 return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
             }
-            if pipe.deaf {
+            if pipe.reader_closed {
                 return Poll::Ready(Ok(buf.len()));
             }
-            if pipe.buffered >= WINDOW {
+            if pipe.buffered >= WINDOW_BYTES {
                 pipe.writer = Some(cx.waker().clone());
                 return Poll::Pending;
             }
@@ -593,7 +600,7 @@
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         let me = self.get_mut();
-        let open = !lock(&me.conn.pipes).way[me.side].closed;
+        let open = !lock(&me.conn.pipes).directions[me.side].closed;
         if open {
             me.send(Vec::new(), true);
         }
@@ -601,17 +608,17 @@
     }
 }
 
-impl Drop for End {
+impl Drop for Endpoint {
     fn drop(&mut self) {
         let (open, silent) = {
             let mut pipes = lock(&self.conn.pipes);
-            let incoming = &mut pipes.way[1 - self.side];
-            incoming.deaf = true;
+            let incoming = &mut pipes.directions[1 - self.side];
+            incoming.reader_closed = true;
             incoming.queue.clear();
             if let Some(w) = incoming.writer.take() {
                 w.wake();
             }
-            (!pipes.way[self.side].closed, pipes.silent)
+            (!pipes.directions[self.side].closed, pipes.silent)
         };
         if open && !silent {
             self.send(Vec::new(), true);
--- a/crates/emulator/src/odd.rs
+++ b/crates/emulator/src/fault_requests.rs
@@ -2,7 +2,7 @@
 //! otherwise invalid requests, and status queries to all controllers within milliseconds.
 
 use crate::fabric::lock;
-use crate::jobs::as_recorded;
+use crate::jobs::history_job;
 use crate::users::Users;
 use cherrywood_checker::What;
 use cherrywood_checker::history::Ask;
@@ -12,20 +12,20 @@
 use std::sync::Arc;
 
 /// Most seconds between the end of a job's last task and its cancellation.
-const AT_END_S: f64 = 0.3;
+const CANCEL_AT_END_S: f64 = 0.3;
 /// Range of the interval between two invalid requests, s.
-const ODD_EVERY_S: (f64, f64) = (0.1, 0.5);
+const INVALID_REQUEST_INTERVAL_S: (f64, f64) = (0.1, 0.5);
 /// Status queries to each controller, and range of the interval between two, s.
-const LOOKS: u32 = 3;
-const LOOK_EVERY_S: (f64, f64) = (0.001, 0.02);
+const STATUS_QUERIES: u32 = 3;
+const STATUS_QUERY_INTERVAL_S: (f64, f64) = (0.001, 0.02);
 /// A CPU request that no machine can satisfy.
 const TOO_MANY_CPUS: f64 = 1.0e6;
 /// Required fields: a submission that lacks one must be refused.
-const NEEDED: [&str; 4] = ["crew", "chores", "cpus", "rank"];
+const REQUIRED_FIELDS: [&str; 4] = ["crew", "chores", "cpus", "rank"];
 
 impl Users {
     /// Whether the user of this job waits for its end.
-    pub fn waits_for(&self, job: &str) -> bool {
+    pub fn is_waiting_for(&self, job: &str) -> bool {
         lock(&self.open).contains_key(job)
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// Draws one of the values; `None` if there are none.
-    fn one_of<T>(&self, all: Vec<T>) -> Option<T> {
+    fn draw_one<T>(&self, all: Vec<T>) -> Option<T> {
         let at = (self.host.random() % all.len().max(1) as u64) as usize;
         all.into_iter().nth(at)
     }
@@ -45,11 +45,13 @@
         self.host.clone().spawn(async move {
             self.host.sleep(after_s).await;
             self.world.record(What::Unwanted { job: job.clone() });
-            let mut line = None;
-            while self.waits_for(&job) {
-                let told = self.ask(&mut line, Ask::Cancel, &job, Some(&[])).await;
+            let mut connection = None;
+            while self.is_waiting_for(&job) {
+                let told = self
+                    .send(&mut connection, Ask::Cancel, &job, Some(&[]))
+                    .await;
                 if told.is_final() {
-                    self.look_closely(&job);
+                    self.query_all_controllers(&job);
                     return;
                 }
                 self.host.sleep(told.retry_s()).await;
@@ -58,23 +60,23 @@
     }
 
     /// Issues the requests that active faults demand at the end of a job's last task.
-    pub(crate) async fn meet_ends(self: Arc<Self>) {
+    pub(crate) async fn watch_job_ends(self: Arc<Self>) {
         loop {
-            for job in self.world.next_finished().await {
+            for job in self.world.next_finished_jobs().await {
                 // A job that its user has given up is not queried.
-                if !self.waits_for(&job) {
+                if !self.is_waiting_for(&job) {
                     continue;
                 }
-                self.look_closely(&job);
-                if self.cancels_at_end() {
-                    let after_s = self.host.random_between(0.0, AT_END_S);
+                self.query_all_controllers(&job);
+                if self.draws_cancel_at_end() {
+                    let after_s = self.host.random_between(0.0, CANCEL_AT_END_S);
                     self.clone().cancel(job, after_s);
                 }
             }
         }
     }
 
-    fn cancels_at_end(&self) -> bool {
+    fn draws_cancel_at_end(&self) -> bool {
         let share = |t: &Trouble| match t {
             Trouble::CancelAtEnd(t) => Some(t.share),
             _ => None,
@@ -87,7 +89,7 @@
 
     /// While a fault demands it, queries all controllers repeatedly about this job, and
     /// repeats its submission at one of them.
-    pub(crate) fn look_closely(self: &Arc<Self>, job: &str) {
+    pub(crate) fn query_all_controllers(self: &Arc<Self>, job: &str) {
         let close = |t: &Trouble| matches!(t, Trouble::CloseLooks(_)).then_some(());
         if self.world.now_in(close).is_empty() {
             return;
@@ -99,24 +101,26 @@
             let repeat = submission.clone().filter(|_| node == repeats_at);
             let (own, job) = (self.clone(), job.to_string());
             self.host
-                .spawn(async move { own.look(node, &job, repeat).await });
+                .spawn(async move { own.query_controller(node, &job, repeat).await });
         }
     }
 
-    async fn look(self: Arc<Self>, node: usize, job: &str, repeat: Option<Submission>) {
-        for _ in 0..LOOKS {
-            let pause_s = self.host.random_between(LOOK_EVERY_S.0, LOOK_EVERY_S.1);
+    async fn query_controller(self: Arc<Self>, node: usize, job: &str, repeat: Option<Submission>) {
+        for _ in 0..STATUS_QUERIES {
+            let pause_s = self
+                .host
+                .random_between(STATUS_QUERY_INTERVAL_S.0, STATUS_QUERY_INTERVAL_S.1);
             self.host.sleep(pause_s).await;
-            let Some(line) = self.connect_to(node).await else {
+            let Some(connection) = self.connect_to(node).await else {
                 return;
             };
-            self.ask(&mut Some(line), Ask::Poll, job, None).await;
+            self.send(&mut Some(connection), Ask::Poll, job, None).await;
         }
         if let Some(submission) = repeat
-            && let Some(line) = self.connect_to(node).await
+            && let Some(connection) = self.connect_to(node).await
         {
             let body = encode(&submission);
-            self.ask(&mut Some(line), Ask::Submit, job, Some(&body))
+            self.send(&mut Some(connection), Ask::Submit, job, Some(&body))
                 .await;
         }
     }
@@ -124,16 +128,18 @@
     // --- invalid requests ---
 
     /// Sends invalid requests for `for_s` seconds.
-    pub(crate) async fn odd_requests(self: Arc<Self>, for_s: f64) {
+    pub(crate) async fn send_invalid_requests(self: Arc<Self>, for_s: f64) {
         let until = self.world.now_s() + for_s;
         while self.world.now_s() < until {
-            let pause_s = self.host.random_between(ODD_EVERY_S.0, ODD_EVERY_S.1);
+            let pause_s = self
+                .host
+                .random_between(INVALID_REQUEST_INTERVAL_S.0, INVALID_REQUEST_INTERVAL_S.1);
             self.host.sleep(pause_s).await;
             let own = self.clone();
             let which = self.host.random() % 4;
             self.host.spawn(async move {
                 match which {
-                    0 => own.repeat_unfinished().await,
+                    0 => own.repeat_open_submission().await,
                     1 => own.cancel_done().await,
                     2 => own.submit_impossible().await,
                     _ => own.submit_without_a_field().await,
@@ -142,13 +148,13 @@
         }
     }
 
-    async fn repeat_unfinished(self: Arc<Self>) {
+    async fn repeat_open_submission(self: Arc<Self>) {
         let open = lock(&self.open).values().cloned().collect();
-        let Some(submission) = self.one_of::<Submission>(open) else {
+        let Some(submission) = self.draw_one::<Submission>(open) else {
             return;
         };
         let body = encode(&submission);
-        self.ask(&mut None, Ask::Submit, &submission.id, Some(&body))
+        self.send(&mut None, Ask::Submit, &submission.id, Some(&body))
             .await;
     }
 
@@ -156,22 +162,22 @@
     /// again.
     async fn cancel_done(self: Arc<Self>) {
         let done = lock(&self.done).clone();
-        if let Some(job) = self.one_of(done) {
-            self.ask(&mut None, Ask::Cancel, &job, Some(&[])).await;
+        if let Some(job) = self.draw_one(done) {
+            self.send(&mut None, Ask::Cancel, &job, Some(&[])).await;
         }
     }
 
     /// Returns a copy of a drawn open submission under an id that no user has.
-    fn like_an_open_one(&self) -> Option<Submission> {
+    fn copy_of_open_submission(&self) -> Option<Submission> {
         let open = lock(&self.open).values().cloned().collect();
-        let mut submission: Submission = self.one_of(open)?;
+        let mut submission: Submission = self.draw_one(open)?;
         submission.id = format!("wk-8{:08}", self.host.random() % 100_000_000);
         submission.dependencies = Vec::new();
         Some(submission)
     }
 
     async fn submit_impossible(self: Arc<Self>) {
-        let Some(mut submission) = self.like_an_open_one() else {
+        let Some(mut submission) = self.copy_of_open_submission() else {
             return;
         };
         match self.host.random() % 3 {
@@ -179,33 +185,33 @@
             1 => submission.machine_types = Some(vec!["no-such-type".to_string()]),
             _ => submission.team = "nobody".to_string(),
         }
-        self.world.submitted(as_recorded(&submission));
+        self.world.submitted(history_job(&submission));
         let body = encode(&submission);
         self.submit(&mut None, &submission.id, &body).await;
-        self.world.close();
+        self.world.close_job();
     }
 
     async fn submit_without_a_field(self: Arc<Self>) {
-        let Some(submission) = self.like_an_open_one() else {
+        let Some(submission) = self.copy_of_open_submission() else {
             return;
         };
-        let Some(field) = self.one_of(NEEDED.to_vec()) else {
+        let Some(field) = self.draw_one(REQUIRED_FIELDS.to_vec()) else {
             return;
         };
-        let Some(body) = without(&submission, field) else {
+        let Some(body) = encode_without(&submission, field) else {
             return;
         };
         self.world.record(What::LacksField {
             job: submission.id.clone(),
             field: field.to_string(),
         });
-        self.ask(&mut None, Ask::Submit, &submission.id, Some(&body))
+        self.send(&mut None, Ask::Submit, &submission.id, Some(&body))
             .await;
     }
 }
 
 /// Encodes a submission without one of its fields.
-fn without(submission: &Submission, field: &str) -> Option<Vec<u8>> {
+fn encode_without(submission: &Submission, field: &str) -> Option<Vec<u8>> {
     let mut fields: rmpv::Value = cherrywood_wire::decode(&encode(submission)).ok()?;
     if let rmpv::Value::Map(fields) = &mut fields {
         fields.retain(|(name, _)| name.as_str() != Some(field));
--- a/crates/emulator/src/jobs.rs
+++ b/crates/emulator/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs that users submit, drawn from the scenario's classes.
 
-use crate::machine::Sheet;
-use crate::world::{Upload, World};
+use crate::machine::TaskSpec;
+use crate::world::{UploadedJob, World};
 use cherrywood_checker::history::Job;
 use cherrywood_scenario::workload::{Class, JobKind, Rank, Spread};
 use cherrywood_wire::user::{self, MAX_TASKS, Priority, Submission};
@@ -12,23 +12,23 @@
 /// Number of standard deviations that 95 of 100 values of a normal distribution lie below.
 const SD_95: f64 = 1.645;
 /// Spread of the run times of one job's tasks around the job's own.
-const TASKS_VARY: f64 = 0.25;
+const TASK_RUN_TIME_SIGMA: f64 = 0.25;
 /// Cumulative shares, among the jobs that cannot run, of an unknown team and of too many
 /// CPUs; the others ask for an unknown machine type.
-const UNKNOWN_TEAM: f64 = 0.4;
-const TOO_LARGE: f64 = 0.7;
+const UNKNOWN_TEAM_SHARE: f64 = 0.4;
+const TOO_LARGE_SHARE: f64 = 0.7;
 
 /// A job to be submitted, and its user's later actions.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct PlannedJob {
     pub submission: Submission,
-    pub upload: Upload,
+    pub upload: UploadedJob,
     pub job: Job,
     /// Seconds after acceptance at which the user cancels the job.
     pub cancel_after_s: Option<f64>,
     /// The job runs until it is cancelled, or until the end of play.
-    pub job_stands: bool,
-    pub repeats: bool,
+    pub runs_until_cancelled: bool,
+    pub resubmits: bool,
 }
 
 /// Range of the time after acceptance at which a user who cancels does so, s.
@@ -38,7 +38,7 @@
 
 /// Generator of the jobs of one class.
 #[derive(Debug)]
-pub struct Shop {
+pub struct JobGenerator {
     rng: Pcg64,
     class: usize,
     /// Name, size in GB, and cumulative weight of each image.
@@ -63,13 +63,13 @@
 
 /// Count of job numbers, and steps that visit all of them: primes, which have no divisor in
 /// common with the count.
-const NUMBERS: u32 = 1_000_000;
+const JOB_NUMBERS: u32 = 1_000_000;
 const STEPS: [u32; 4] = [104_729, 224_737, 350_377, 479_909];
 
-impl Shop {
+impl JobGenerator {
     /// Creates the generators of each class, and of each stage of each pipeline; draws from
     /// one do not shift another.
-    pub fn all(world: &World) -> (Vec<Shop>, Vec<Vec<Shop>>) {
+    pub fn all(world: &World) -> (Vec<JobGenerator>, Vec<Vec<JobGenerator>>) {
         let w = &world.scenario.workload;
         let number = |name: &str| w.classes.iter().position(|c| c.name == name);
         let mut slots = w.classes.len();
@@ -96,11 +96,11 @@
                 (format!("img-{}-{i}", c.name), gb, sum)
             });
             let images = images.collect();
-            Shop {
+            JobGenerator {
                 class,
                 slot: slot as u32,
                 images,
-                next: rng.random_range(0..NUMBERS / slots as u32),
+                next: rng.random_range(0..JOB_NUMBERS / slots as u32),
                 step: STEPS[rng.random_range(0..STEPS.len())],
                 slots: slots as u32,
                 rng,
@@ -119,7 +119,7 @@
 
     /// Returns the next job id; ids are unique, in no particular order.
     fn id(&mut self) -> String {
-        let own = NUMBERS / self.slots;
+        let own = JOB_NUMBERS / self.slots;
         self.next = (self.next + self.step) % own;
         format!("wk-{:06}", self.next * self.slots + self.slot)
     }
@@ -140,7 +140,7 @@
         teams[teams.len() - 1].name.clone()
     }
 
-    pub fn order(&mut self, world: &World) -> Order {
+    pub fn next_job(&mut self, world: &World) -> PlannedJob {
         let c = &world.scenario.workload.classes[self.class];
         let w = &world.scenario.workload;
         let id = self.id();
@@ -155,9 +155,9 @@
         let tasks = (draw(rng, &c.tasks).round().max(1.0) as u32).min(MAX_TASKS);
         let run = draw(rng, &c.run_s);
         let limit = c.run_s.most.unwrap_or(f64::INFINITY);
-        let runs: Vec<f64> = (0..if standing { 0 } else { tasks })
+        let run_times_s: Vec<f64> = (0..if standing { 0 } else { tasks })
             .map(|_| {
-                let by = libm::exp(TASKS_VARY * rng.sample::<f64, _>(StandardNormal));
+                let by = libm::exp(TASK_RUN_TIME_SIGMA * rng.sample::<f64, _>(StandardNormal));
                 (run * by).clamp(0.1, limit)
             })
             .collect();
@@ -180,7 +180,7 @@
             (_, _, true) => Some(soon),
             _ => None,
         };
-        let repeats = chance(rng, w.repeats);
+        let resubmits = chance(rng, w.repeats);
         let impossible = chance(rng, w.impossible);
         let kind: f64 = rng.random();
         let mut submission = Submission {
@@ -215,15 +215,15 @@
             deadline_s: None,
             dependencies: Vec::new(),
         };
-        if impossible && kind < UNKNOWN_TEAM {
+        if impossible && kind < UNKNOWN_TEAM_SHARE {
             submission.team = "nobody".into();
-        } else if impossible && kind < TOO_LARGE {
+        } else if impossible && kind < TOO_LARGE_SHARE {
             submission.cpus = 1.0e6;
         } else if impossible {
             submission.machine_types = Some(vec!["no-such-type".into()]);
         }
-        let job = as_recorded(&submission);
-        let sheet = Sheet {
+        let job = history_job(&submission);
+        let spec = TaskSpec {
             job: id,
             tasks,
             cpus: submission.cpus,
@@ -238,19 +238,19 @@
             saved_s: 0.0,
             finished: false,
         };
-        Order {
+        PlannedJob {
             submission,
-            upload: Upload { sheet, runs },
+            upload: UploadedJob { spec, run_times_s },
             job,
             cancel_after_s,
-            job_stands: standing,
-            repeats,
+            runs_until_cancelled: standing,
+            resubmits,
         }
     }
 }
 
 /// Converts a submission to its form in the history.
-pub(crate) fn as_recorded(submission: &Submission) -> Job {
+pub(crate) fn history_job(submission: &Submission) -> Job {
     Job {
         id: submission.id.clone(),
         class: submission.class.clone(),
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -6,9 +6,9 @@
 pub mod balancer;
 pub mod cloud;
 pub mod fabric;
+mod fault_requests;
 pub mod jobs;
 pub mod machine;
-mod odd;
 pub mod proc;
 pub mod state;
 pub mod troubles;
@@ -17,8 +17,8 @@
 pub mod world;
 
 pub use cloud::Cloud;
-pub use fabric::Fabric;
-pub use proc::{Clocks, Medium, Proc};
+pub use fabric::Network;
+pub use proc::{Clocks, Proc, Transport};
 pub use state::StateHost;
 pub use troubles::{Nodes, Troubles};
 pub use users::Users;
--- a/crates/emulator/src/machine.rs
+++ b/crates/emulator/src/machine.rs
@@ -10,7 +10,7 @@
 
 /// The platform's definition of a task, from the job that its user uploaded.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Sheet {
+pub struct TaskSpec {
     pub job: String,
     pub tasks: u32,
     pub cpus: f64,
@@ -32,7 +32,7 @@
 
 /// An event on a machine, for the history or the progress kept outside.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Note {
+pub enum MachineEvent {
     Starts {
         task: String,
         attempt: u64,
@@ -71,9 +71,9 @@
     id: String,
     attempt: u64,
     state: TaskState,
-    why: Option<ExitCause>,
-    kept: Option<bool>,
-    sheet: Sheet,
+    exit_cause: Option<ExitCause>,
+    checkpoint_saved: Option<bool>,
+    spec: TaskSpec,
     /// Run time completed, s, and the part that was saved before this attempt.
     progress: f64,
     kept_before: f64,
@@ -87,8 +87,8 @@
 struct Image {
     gb: f64,
     /// GB still to fetch; 0 for a cached image.
-    left: f64,
-    used: f64,
+    remaining_gb: f64,
+    last_used: f64,
 }
 
 /// Properties that vary between machines and over time.
@@ -98,7 +98,7 @@
     pub fetch_gb_per_s: f64,
     pub fetch_shared: bool,
     /// Factor by which the machine runs its tasks slower.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Whether every task that starts here fails.
     pub faulty: bool,
 }
@@ -112,20 +112,20 @@
     pub spot: bool,
     pub traits: Traits,
     lease_s: f64,
-    pub session: u64,
-    seq: u64,
+    pub incarnation: u64,
+    sequence: u64,
     pub token: u64,
     /// Time on this clock at which the cloud reclaims the machine.
-    notice_until: Option<f64>,
+    reclaim_at: Option<f64>,
     tasks: Vec<Task>,
     images: BTreeMap<String, Image>,
     /// Time from which the lease counts.
-    leased: f64,
-    advanced: f64,
-    token_told: f64,
+    lease_from: f64,
+    advanced_to: f64,
+    token_reported_at: f64,
     /// Whether a change should be reported before the next regular heartbeat.
     pub changed: bool,
-    notes: Vec<Note>,
+    events: Vec<MachineEvent>,
 }
 
 /// Seconds after which a task that is to fail does so.
@@ -134,7 +134,10 @@
 const ROUNDING: f64 = 1e-6;
 
 impl Machine {
-    #[expect(clippy::too_many_arguments, reason = "what a machine is")]
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "each argument is a property of the machine"
+    )]
     pub fn new(
         name: &str,
         addr: String,
@@ -153,26 +156,26 @@
             spot,
             traits,
             lease_s,
-            session: 1,
-            seq: 0,
+            incarnation: 1,
+            sequence: 0,
             token: 0,
-            notice_until: None,
+            reclaim_at: None,
             tasks: Vec::new(),
             images: BTreeMap::new(),
-            leased: now,
-            advanced: now,
-            token_told: f64::NEG_INFINITY,
+            lease_from: now,
+            advanced_to: now,
+            token_reported_at: f64::NEG_INFINITY,
             changed: false,
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
-    pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<MachineEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// Returns the number of running or saving tasks, and of tasks that wait for an image.
-    pub fn load(&self) -> (usize, usize) {
+    pub fn task_counts(&self) -> (usize, usize) {
         let of = |s: &[TaskState]| self.tasks.iter().filter(|t| s.contains(&t.state)).count();
         (
             of(&[TaskState::Running, TaskState::Saving]),
@@ -184,23 +187,23 @@
     /// that run until stopped.
     pub fn running(&self) -> Vec<(String, Option<f64>)> {
         let running = self.tasks.iter().filter(|t| t.state == TaskState::Running);
-        let left = |t: &Task| t.sheet.run_s.map(|run_s| run_s - t.progress);
+        let left = |t: &Task| t.spec.run_s.map(|run_s| run_s - t.progress);
         running.map(|t| (t.id.clone(), left(t))).collect()
     }
 
     /// Returns this worker's next heartbeat.
-    pub fn report(&mut self, now: f64) -> Heartbeat {
-        self.seq += 1;
+    pub fn heartbeat(&mut self, now: f64) -> Heartbeat {
+        self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
             address: self.addr.clone(),
             machine_type: self.kind.name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            incarnation: self.session,
-            sequence: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             fencing_token: self.token,
-            spot_notice_s: self.notice_until.map(|t| (t - now).max(0.0)),
+            spot_notice_s: self.reclaim_at.map(|t| (t - now).max(0.0)),
             tasks: self
                 .tasks
                 .iter()
@@ -208,69 +211,69 @@
                     task: t.id.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    exit_cause: t.why,
-                    checkpoint_saved: t.kept,
+                    exit_cause: t.exit_cause,
+                    checkpoint_saved: t.checkpoint_saved,
                 })
                 .collect(),
         }
     }
 
-    /// Handles the response to the heartbeat that was sent at `sent` in `session`. Returns
+    /// Handles the response to the heartbeat that was sent at `sent` in `incarnation`. Returns
     /// false if the response had to be dropped.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
-        answer: &HeartbeatResponse,
-        session: u64,
+        response: &HeartbeatResponse,
+        incarnation: u64,
         sent: f64,
         now: f64,
-        sheet: &mut dyn FnMut(&str) -> Option<Sheet>,
+        spec: &mut dyn FnMut(&str) -> Option<TaskSpec>,
     ) -> bool {
         self.advance(now);
-        if session != self.session || answer.fencing_token < self.token {
+        if incarnation != self.incarnation || response.fencing_token < self.token {
             return false;
         }
-        self.leased = self.leased.max(sent);
-        self.see(answer.fencing_token, now);
-        for c in &answer.commands {
-            self.obey(c, now, sheet);
+        self.lease_from = self.lease_from.max(sent);
+        self.observe_token(response.fencing_token, now);
+        for c in &response.commands {
+            self.execute(c, now, spec);
         }
         self.advance(now);
         true
     }
 
     /// Handles `POST /orders`; returns false if nothing was executed.
-    pub fn ordered(
+    pub fn handle_direct_commands(
         &mut self,
-        orders: &DirectCommands,
+        direct: &DirectCommands,
         now: f64,
-        sheet: &mut dyn FnMut(&str) -> Option<Sheet>,
+        spec: &mut dyn FnMut(&str) -> Option<TaskSpec>,
     ) -> bool {
         self.advance(now);
-        if orders.fencing_token < self.token || orders.incarnation != self.session {
+        if direct.fencing_token < self.token || direct.incarnation != self.incarnation {
             return false;
         }
-        self.see(orders.fencing_token, now);
-        for c in &orders.commands {
-            self.obey(c, now, sheet);
+        self.observe_token(direct.fencing_token, now);
+        for c in &direct.commands {
+            self.execute(c, now, spec);
         }
         self.advance(now);
         true
     }
 
-    fn see(&mut self, token: u64, now: f64) {
+    fn observe_token(&mut self, token: u64, now: f64) {
         if token > self.token {
             self.token = token;
             // Reported early at most once per half lease.
-            if now - self.token_told >= self.lease_s / 2.0 {
-                self.token_told = now;
+            if now - self.token_reported_at >= self.lease_s / 2.0 {
+                self.token_reported_at = now;
                 self.changed = true;
             }
         }
     }
 
-    fn obey(&mut self, c: &Command, now: f64, sheet: &mut dyn FnMut(&str) -> Option<Sheet>) {
+    fn execute(&mut self, c: &Command, now: f64, spec: &mut dyn FnMut(&str) -> Option<TaskSpec>) {
         match c {
-            Command::Start { task, attempt } => self.start(task, *attempt, now, sheet),
+            Command::Start { task, attempt } => self.start(task, *attempt, now, spec),
             Command::Stop {
                 task,
                 attempt,
@@ -292,7 +295,7 @@
         id: &str,
         attempt: u64,
         now: f64,
-        sheet: &mut dyn FnMut(&str) -> Option<Sheet>,
+        spec: &mut dyn FnMut(&str) -> Option<TaskSpec>,
     ) {
         if self
             .tasks
@@ -302,14 +305,14 @@
             return;
         }
         self.changed = true;
-        let known = sheet(id);
+        let known = spec(id);
         let live = |t: &&Task| t.state != TaskState::Exited;
         let refusal = match &known {
             None => Some(ExitCause::Unknown),
             Some(_) if self.tasks.iter().filter(live).any(|t| t.id == id) => Some(ExitCause::InUse),
             Some(s) => {
-                let sum = |of: fn(&Sheet) -> f64| -> f64 {
-                    self.tasks.iter().filter(live).map(|t| of(&t.sheet)).sum()
+                let sum = |of: fn(&TaskSpec) -> f64| -> f64 {
+                    self.tasks.iter().filter(live).map(|t| of(&t.spec)).sum()
                 };
                 let k = &self.kind;
                 let full = sum(|s| s.cpus) + s.cpus > k.cpus + ROUNDING
@@ -318,7 +321,7 @@
                 full.then_some(ExitCause::NoRoom)
             }
         };
-        let empty = || Sheet {
+        let empty = || TaskSpec {
             job: String::new(),
             tasks: 0,
             cpus: 0.0,
@@ -333,33 +336,33 @@
             saved_s: 0.0,
             finished: false,
         };
-        let sheet = known.unwrap_or_else(empty);
+        let spec = known.unwrap_or_else(empty);
         let state = match refusal {
             Some(_) => TaskState::Exited,
             None => TaskState::Fetching,
         };
         if refusal.is_none() {
-            self.notes.push(Note::Starts {
+            self.events.push(MachineEvent::Starts {
                 task: id.to_string(),
                 attempt,
             });
-            let gb = sheet.image_gb;
-            let image = self.images.entry(sheet.image.clone()).or_insert(Image {
+            let gb = spec.image_gb;
+            let image = self.images.entry(spec.image.clone()).or_insert(Image {
                 gb,
-                left: gb,
-                used: now,
+                remaining_gb: gb,
+                last_used: now,
             });
-            image.used = now;
+            image.last_used = now;
         }
         self.tasks.push(Task {
             id: id.to_string(),
             attempt,
             state,
-            why: refusal,
-            kept: None,
-            progress: sheet.saved_s,
-            kept_before: sheet.saved_s,
-            sheet,
+            exit_cause: refusal,
+            checkpoint_saved: None,
+            progress: spec.saved_s,
+            kept_before: spec.saved_s,
+            spec,
             save_until: 0.0,
             fails_at: None,
         });
@@ -370,7 +373,7 @@
     /// stay.
     fn evict(&mut self) {
         let needed = |name: &String, tasks: &[Task]| {
-            let of = |t: &Task| t.state != TaskState::Exited && t.sheet.image == *name;
+            let of = |t: &Task| t.state != TaskState::Exited && t.spec.image == *name;
             tasks.iter().any(of)
         };
         while self.images.values().map(|i| i.gb).sum::<f64>() > self.kind.cache_gb {
@@ -378,7 +381,7 @@
                 .images
                 .iter()
                 .filter(|(name, _)| !needed(name, &self.tasks))
-                .min_by(|a, b| a.1.used.total_cmp(&b.1.used))
+                .min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used))
                 .map(|(name, _)| name.clone());
             match oldest {
                 Some(name) => self.images.remove(&name),
@@ -387,60 +390,60 @@
         }
     }
 
-    fn stop(&mut self, id: &str, attempt: u64, slack_s: f64, now: f64) {
+    fn stop(&mut self, id: &str, attempt: u64, grace_s: f64, now: f64) {
         let found = |t: &Task| t.id == id && t.attempt == attempt;
         let Some(at) = self.tasks.iter().position(found) else {
             return;
         };
-        let noticed = self.notice_until.is_some();
+        let noticed = self.reclaim_at.is_some();
         let t = &mut self.tasks[at];
         match t.state {
             TaskState::Exited => return,
-            TaskState::Running if !noticed => self.notes.push(Note::Stops {
+            TaskState::Running if !noticed => self.events.push(MachineEvent::Stops {
                 task: id.to_string(),
             }),
             _ => {}
         }
         self.changed = true;
         let t = &mut self.tasks[at];
-        let saves = t.sheet.checkpoint_s > 0.0 && slack_s >= t.sheet.save_s;
+        let saves = t.spec.checkpoint_s > 0.0 && grace_s >= t.spec.save_s;
         match t.state {
             TaskState::Running if saves => {
                 t.state = TaskState::Saving;
-                t.save_until = now + t.sheet.save_s;
+                t.save_until = now + t.spec.save_s;
             }
-            TaskState::Saving if slack_s > 0.0 => {}
+            TaskState::Saving if grace_s > 0.0 => {}
             _ => self.exit(at, ExitCause::Stopped, Off::Stopped, false),
         }
     }
 
     /// Ends a task; keeps all of its progress (`all`), or what its checkpoints hold.
-    fn exit(&mut self, at: usize, why: ExitCause, off: Off, all: bool) {
+    fn exit(&mut self, at: usize, exit_cause: ExitCause, off: Off, all: bool) {
         let t = &mut self.tasks[at];
         let was_on = matches!(t.state, TaskState::Running | TaskState::Saving);
         let fetched = t.state == TaskState::Fetching;
         t.state = TaskState::Exited;
-        t.why = Some(why);
+        t.exit_cause = Some(exit_cause);
         self.changed = true;
         let finished = off == Off::Done;
-        let every = t.sheet.checkpoint_s;
-        let kept = if all || finished || t.sheet.run_s.is_none() {
+        let every = t.spec.checkpoint_s;
+        let kept = if all || finished || t.spec.run_s.is_none() {
             t.progress
         } else if every > 0.0 {
             ((t.progress / every).floor() * every).max(t.kept_before)
         } else {
             t.kept_before
         };
-        if why == ExitCause::Stopped && every > 0.0 {
-            t.kept = Some(all);
+        if exit_cause == ExitCause::Stopped && every > 0.0 {
+            t.checkpoint_saved = Some(all);
         }
         if was_on {
-            let kept_s = if t.sheet.finished {
+            let kept_s = if t.spec.finished {
                 0.0
             } else {
                 (kept - t.kept_before).max(0.0)
             };
-            self.notes.push(Note::Off {
+            self.events.push(MachineEvent::Off {
                 task: t.id.clone(),
                 attempt: t.attempt,
                 why: off,
@@ -448,44 +451,47 @@
             });
         }
         if fetched {
-            self.notes.push(Note::Dropped {
+            self.events.push(MachineEvent::Dropped {
                 task: t.id.clone(),
                 attempt: t.attempt,
             });
         }
-        if t.sheet.run_s.is_some() && (finished || kept > t.kept_before) {
-            self.notes.push(Note::Saved {
+        if t.spec.run_s.is_some() && (finished || kept > t.kept_before) {
+            self.events.push(MachineEvent::Saved {
                 task: t.id.clone(),
                 progress_s: kept,
                 finished,
             });
         }
-        self.drop_useless_fetches();
+        self.cancel_unneeded_fetches();
     }
 
-    fn drop_useless_fetches(&mut self) {
+    fn cancel_unneeded_fetches(&mut self) {
         let waits = |name: &String| {
-            let of = |t: &Task| t.state == TaskState::Fetching && t.sheet.image == *name;
+            let of = |t: &Task| t.state == TaskState::Fetching && t.spec.image == *name;
             self.tasks.iter().any(of)
         };
-        let useless: Vec<String> = self
+        let unneeded: Vec<String> = self
             .images
             .iter()
-            .filter(|(name, i)| i.left > 0.0 && !waits(name))
+            .filter(|(name, i)| i.remaining_gb > 0.0 && !waits(name))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in useless {
+        for name in unneeded {
             self.images.remove(&name);
         }
     }
 
     /// Returns the seconds of progress that a running task makes in a second.
-    fn pace(&self) -> f64 {
-        self.traits.speed / self.traits.slow
+    fn progress_rate(&self) -> f64 {
+        self.traits.speed / self.traits.slowdown
     }
 
     fn fetching(&self) -> usize {
-        self.images.values().filter(|i| i.left > 0.0).count()
+        self.images
+            .values()
+            .filter(|i| i.remaining_gb > 0.0)
+            .count()
     }
 
     fn fetch_rate(&self) -> f64 {
@@ -500,21 +506,23 @@
     /// Returns the time of the next event that needs no message: lease expiry, fetch, or
     /// task.
     pub fn next_due(&self) -> f64 {
-        let mut due = self.leased + self.lease_s;
+        let mut due = self.lease_from + self.lease_s;
         let rate = self.fetch_rate();
-        for i in self.images.values().filter(|i| i.left > 0.0) {
-            due = due.min(self.advanced + i.left / rate);
+        for i in self.images.values().filter(|i| i.remaining_gb > 0.0) {
+            due = due.min(self.advanced_to + i.remaining_gb / rate);
         }
         for t in &self.tasks {
             match t.state {
                 TaskState::Running => {
-                    if let Some(run) = t.sheet.run_s {
-                        due = due.min(self.advanced + (run - t.progress).max(0.0) / self.pace());
+                    if let Some(run) = t.spec.run_s {
+                        due = due.min(
+                            self.advanced_to + (run - t.progress).max(0.0) / self.progress_rate(),
+                        );
                     }
                     due = due.min(t.fails_at.unwrap_or(f64::INFINITY));
                 }
                 TaskState::Saving => due = due.min(t.save_until),
-                TaskState::Fetching if self.has_image(t) => due = due.min(self.advanced),
+                TaskState::Fetching if self.has_image(t) => due = due.min(self.advanced_to),
                 _ => {}
             }
         }
@@ -522,15 +530,15 @@
     }
 
     fn has_image(&self, t: &Task) -> bool {
-        let image = self.images.get(&t.sheet.image);
-        image.is_none_or(|i| i.left <= 0.0)
+        let image = self.images.get(&t.spec.image);
+        image.is_none_or(|i| i.remaining_gb <= 0.0)
     }
 
     /// Skips the time since the last advance, during which the machine was suspended: no
     /// task or fetch progressed.
-    pub fn stood_still(&mut self, now: f64) {
-        let gap = now - self.advanced;
-        self.advanced = now;
+    pub fn skip_suspension(&mut self, now: f64) {
+        let gap = now - self.advanced_to;
+        self.advanced_to = now;
         for t in &mut self.tasks {
             t.save_until += gap;
             t.fails_at = t.fails_at.map(|at| at + gap);
@@ -541,37 +549,37 @@
     pub fn advance(&mut self, now: f64) {
         // Events change the rates, so they are applied one at a time.
         while self.next_due() <= now {
-            let at = self.next_due().max(self.advanced);
-            self.pass(at);
-            self.happen(at);
+            let at = self.next_due().max(self.advanced_to);
+            self.elapse(at);
+            self.apply_due_events(at);
         }
-        self.pass(now);
+        self.elapse(now);
     }
 
-    fn pass(&mut self, to: f64) {
-        let s = (to - self.advanced).max(0.0);
-        let (rate, pace) = (self.fetch_rate(), self.pace());
-        for i in self.images.values_mut().filter(|i| i.left > 0.0) {
-            i.left = (i.left - s * rate).max(0.0);
-            if i.left < 1e-9 {
-                i.left = 0.0;
+    fn elapse(&mut self, to: f64) {
+        let s = (to - self.advanced_to).max(0.0);
+        let (rate, progress_rate) = (self.fetch_rate(), self.progress_rate());
+        for i in self.images.values_mut().filter(|i| i.remaining_gb > 0.0) {
+            i.remaining_gb = (i.remaining_gb - s * rate).max(0.0);
+            if i.remaining_gb < 1e-9 {
+                i.remaining_gb = 0.0;
             }
         }
         for t in &mut self.tasks {
             if t.state == TaskState::Running {
-                t.progress += s * pace;
-                if let Some(run) = t.sheet.run_s
+                t.progress += s * progress_rate;
+                if let Some(run) = t.spec.run_s
                     && run - t.progress < 1e-9
                 {
                     t.progress = run;
                 }
             }
         }
-        self.advanced = self.advanced.max(to);
+        self.advanced_to = self.advanced_to.max(to);
     }
 
-    fn happen(&mut self, now: f64) {
-        if now >= self.leased + self.lease_s {
+    fn apply_due_events(&mut self, now: f64) {
+        if now >= self.lease_from + self.lease_s {
             self.expire(now);
             return;
         }
@@ -581,16 +589,16 @@
                 TaskState::Fetching => {
                     let ready = self
                         .images
-                        .get(&t.sheet.image)
-                        .is_none_or(|i| i.left <= 0.0);
+                        .get(&t.spec.image)
+                        .is_none_or(|i| i.remaining_gb <= 0.0);
                     if ready {
-                        self.go_on(at, now);
+                        self.start_running(at, now);
                     }
                 }
                 TaskState::Running => {
                     if t.fails_at.is_some_and(|f| now >= f) {
                         self.exit(at, ExitCause::Error, Off::Error, false);
-                    } else if t.sheet.run_s.is_some_and(|run| t.progress >= run) {
+                    } else if t.spec.run_s.is_some_and(|run| t.progress >= run) {
                         self.exit(at, ExitCause::Done, Off::Done, true);
                     }
                 }
@@ -603,50 +611,50 @@
     }
 
     /// Starts to run a task whose image is complete.
-    fn go_on(&mut self, at: usize, now: f64) {
+    fn start_running(&mut self, at: usize, now: f64) {
         let faulty = self.traits.faulty;
         let t = &mut self.tasks[at];
         t.state = TaskState::Running;
         self.changed = true;
-        self.notes.push(Note::On {
+        self.events.push(MachineEvent::On {
             task: t.id.clone(),
             attempt: t.attempt,
         });
-        if t.sheet.finished {
+        if t.spec.finished {
             self.exit(at, ExitCause::Done, Off::Done, true);
-        } else if faulty || t.sheet.mistaken {
+        } else if faulty || t.spec.mistaken {
             t.fails_at = Some(now + FAILS_AFTER_S);
         }
     }
 
     /// Expires the lease: kills and forgets every task, and begins a new incarnation.
     fn expire(&mut self, now: f64) {
-        self.notes.push(Note::LeaseEnds);
-        self.end_all(Off::Lease);
-        self.session += 1;
-        self.leased = now;
+        self.events.push(MachineEvent::LeaseEnds);
+        self.end_all_tasks(Off::Lease);
+        self.incarnation += 1;
+        self.lease_from = now;
         self.changed = true;
     }
 
     /// Ends all tasks at once because the lease expired or the machine is gone.
-    pub fn end_all(&mut self, off: Off) {
+    pub fn end_all_tasks(&mut self, off: Off) {
         for at in 0..self.tasks.len() {
             if self.tasks[at].state != TaskState::Exited {
                 self.exit(at, ExitCause::Stopped, off, false);
             }
         }
         self.tasks.clear();
-        self.drop_useless_fetches();
+        self.cancel_unneeded_fetches();
     }
 
-    pub fn notice(&mut self, until: f64) {
-        self.notice_until = Some(until);
-        self.notes.push(Note::Notice);
+    pub fn give_spot_notice(&mut self, until: f64) {
+        self.reclaim_at = Some(until);
+        self.events.push(MachineEvent::Notice);
         self.changed = true;
     }
 
     /// Returns the time of lease expiry, unless a heartbeat is answered before.
     pub fn lease_until(&self) -> f64 {
-        self.leased + self.lease_s
+        self.lease_from + self.lease_s
     }
 }
--- a/crates/emulator/src/proc.rs
+++ b/crates/emulator/src/proc.rs
@@ -2,7 +2,7 @@
 //! killed, and access to the network, which is simulated or, in a simulation with real
 //! processes, loopback.
 
-use crate::fabric::{Fabric, lock};
+use crate::fabric::{Network, lock};
 use cherrywood_net::runtime::{BoxFuture, EmulatedRuntime, Listener, Runtime, Stream};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -36,12 +36,12 @@
     /// Reading of the monotonic clock when the process starts, s.
     pub offset_s: f64,
     /// Error of the wall clock, ms.
-    pub wall_off_ms: f64,
+    pub wall_offset_ms: f64,
 }
 
 #[derive(Debug, Clone)]
-pub enum Medium {
-    Fabric(Arc<Fabric>),
+pub enum Transport {
+    Simulated(Arc<Network>),
     Loopback,
 }
 
@@ -57,12 +57,12 @@
 }
 
 /// Unix time at which every emulated scenario begins: 2026-01-01.
-const DAWN_MS: u64 = 1_767_225_600_000;
+const EPOCH_MS: u64 = 1_767_225_600_000;
 
 pub struct Proc {
     pub name: Arc<str>,
     pub ip: IpAddr,
-    medium: Medium,
+    transport: Transport,
     clocks: Clocks,
     start: Instant,
     scenario: Instant,
@@ -82,7 +82,7 @@
     pub fn new(
         name: &str,
         ip: IpAddr,
-        medium: Medium,
+        transport: Transport,
         clocks: Clocks,
         scenario: Instant,
         seed: u64,
@@ -90,7 +90,7 @@
         Arc::new_cyclic(|me| Proc {
             name: name.into(),
             ip,
-            medium,
+            transport,
             clocks,
             start: Instant::now(),
             scenario,
@@ -102,7 +102,7 @@
 
     pub fn host(&self) -> Runtime {
         let me = self.me.upgrade();
-        Runtime::emulated(me.expect("a process outlives the call on it"))
+        Runtime::emulated(me.expect("host() is called through an Arc<Proc> that is still alive"))
     }
 
     /// Suspends all tasks of the process; its clocks run on.
@@ -150,7 +150,7 @@
     }
 
     /// Converts seconds of this process's clock to true seconds.
-    fn true_s(&self, s: f64) -> Duration {
+    fn true_duration(&self, s: f64) -> Duration {
         // The limit of about a year acts as no timer at all, and can be added to any time.
         Duration::from_secs_f64((s / (1.0 + self.clocks.drift)).clamp(0.0, 3.0e7))
     }
@@ -164,7 +164,7 @@
 
     fn wall_ms(&self) -> u64 {
         let since = self.scenario.elapsed().as_millis() as u64;
-        DAWN_MS + (since as f64 + self.clocks.wall_off_ms).max(0.0) as u64
+        EPOCH_MS + (since as f64 + self.clocks.wall_offset_ms).max(0.0) as u64
     }
 
     fn random(&self) -> u64 {
@@ -172,7 +172,7 @@
     }
 
     fn sleep(&self, s: f64) -> BoxFuture<()> {
-        Box::pin(sleep(self.true_s(s)))
+        Box::pin(sleep(self.true_duration(s)))
     }
 
     fn spawn(&self, task: BoxFuture<()>) {
@@ -185,20 +185,20 @@
         }
         let id = tasks.next;
         tasks.next += 1;
-        let gate = Gate {
+        let gated = ProcessTask {
             proc,
             id,
             task,
             late: None,
         };
-        let handle = tokio::spawn(gate).abort_handle();
+        let handle = tokio::spawn(gated).abort_handle();
         tasks.handles.insert(id, handle);
     }
 
     fn connect(&self, to: SocketAddr) -> BoxFuture<io::Result<Stream>> {
-        match &self.medium {
-            Medium::Fabric(fabric) => Box::pin(fabric.clone().connect(self.ip, to)),
-            Medium::Loopback => Box::pin(async move {
+        match &self.transport {
+            Transport::Simulated(network) => Box::pin(network.clone().connect(self.ip, to)),
+            Transport::Loopback => Box::pin(async move {
                 let stream = TcpStream::connect(to).await?;
                 let _ = stream.set_nodelay(true);
                 Ok(Stream::Tcp(stream))
@@ -207,9 +207,9 @@
     }
 
     fn bind(&self, at: SocketAddr) -> io::Result<Listener> {
-        match &self.medium {
-            Medium::Fabric(fabric) => fabric.bind(at),
-            Medium::Loopback => {
+        match &self.transport {
+            Transport::Simulated(network) => network.bind(at),
+            Transport::Loopback => {
                 let listener = std::net::TcpListener::bind(at)?;
                 listener.set_nonblocking(true)?;
                 TcpListener::from_std(listener).map(Listener::Tcp)
@@ -220,14 +220,14 @@
 
 /// A task of a process: not polled while the process is suspended, and delayed while the
 /// process is slow.
-struct Gate {
+struct ProcessTask {
     proc: Arc<Proc>,
     id: u64,
     task: BoxFuture<()>,
     late: Option<Pin<Box<Sleep>>>,
 }
 
-impl Future for Gate {
+impl Future for ProcessTask {
     type Output = ();
 
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -43,7 +43,7 @@
 
 impl StateHost {
     pub async fn start(world: &Arc<World>) -> io::Result<Arc<StateHost>> {
-        let proc = world.region("state", Role::State);
+        let proc = world.region_process("state", Role::State);
         let s = &world.scenario.deployment.state;
         let allowed = ServiceLimits {
             rps: s.rps,
@@ -61,11 +61,11 @@
             proc,
         });
         for (node, at) in world.addresses.state.iter().enumerate() {
-            let listener = me.host.bind(*at).await.map_err(|e| named(*at, &e))?;
+            let listener = me.host.bind(*at).await.map_err(|e| with_address(*at, &e))?;
             let own = me.clone();
             let on_request = Arc::new(move |request, _: SocketAddr| {
                 let own = own.clone();
-                async move { own.answer(node, request).await }
+                async move { own.respond(node, request).await }
             });
             let serve = server::serve(me.host.clone(), listener, CONNECTIONS, on_request);
             me.host.spawn(serve);
@@ -85,7 +85,7 @@
     }
 
     /// Publishes a change of the store: a write, or a lease expiry.
-    fn changed(&self, service: &StoreService) {
+    fn publish_change(&self, service: &StoreService) {
         self.world.set_leadership(leadership(service));
         self.changed.notify_waiters();
     }
@@ -110,21 +110,21 @@
         self.changed.notify_waiters();
     }
 
-    fn down(&self) -> bool {
+    fn is_down(&self) -> bool {
         let down = |t: &Trouble| matches!(t, Trouble::StateOutage(_)).then_some(());
         !self.world.now_in(down).is_empty()
     }
 
     /// Restarts every lease with its full time once no outage is left.
-    pub fn recovered(&self) {
-        if !self.down() {
+    pub fn end_outage(&self) {
+        if !self.is_down() {
             lock(&self.service).store.renew_all_leases(self.host.now());
             self.changed.notify_waiters();
         }
     }
 
     /// Scales the service's rates to the least share that active faults set.
-    pub fn set_share(&self) {
+    pub fn update_rate_share(&self) {
         let behind = |t: &Trouble| match t {
             Trouble::StateBehind(t) => Some(t.share),
             _ => None,
@@ -134,7 +134,7 @@
     }
 
     /// Applies the scenario's next limits from now on.
-    pub fn next_limits(&self) {
+    pub fn apply_next_limits(&self) {
         let s = &self.world.scenario.deployment.state;
         let next = s.next.unwrap_or_default();
         lock(&self.service).set_limits(ServiceLimits {
@@ -145,8 +145,8 @@
         });
     }
 
-    fn turns_away(&self, node: usize) -> bool {
-        self.down() || lock(&self.refused).iter().any(|(_, n)| n.contains(&node))
+    fn refuses(&self, node: usize) -> bool {
+        self.is_down() || lock(&self.refused).iter().any(|(_, n)| n.contains(&node))
     }
 
     fn chance(&self) -> f64 {
@@ -172,7 +172,7 @@
         ms / 1000.0
     }
 
-    fn loses(&self) -> Option<(Lost, f64)> {
+    fn draw_loss(&self) -> Option<(Lost, f64)> {
         let loses = |t: &Trouble| match t {
             Trouble::StateLoses(t) => Some((t.share, t.when, t.late_s)),
             _ => None,
@@ -184,7 +184,7 @@
 
     /// Draws how the response to this transaction is lost, if at all, and the seconds by
     /// which the execution is late.
-    fn late(&self, request: &Request) -> Option<(Lost, f64)> {
+    fn draw_late_write(&self, request: &Request) -> Option<(Lost, f64)> {
         if request.path != "/txn" {
             return None;
         }
@@ -204,21 +204,21 @@
     }
 
     /// Whether a fault leaves watches waiting.
-    fn lags(&self) -> bool {
+    fn has_watch_lag(&self) -> bool {
         let lag = |t: &Trouble| matches!(t, Trouble::WatchLag(_)).then_some(());
         !self.world.now_in(lag).is_empty()
     }
 
-    async fn answer(self: &Arc<Self>, node: usize, request: Request) -> Response {
-        if self.turns_away(node) {
+    async fn respond(self: &Arc<Self>, node: usize, request: Request) -> Response {
+        if self.refuses(node) {
             return Response::empty(503);
         }
         let s = self.latency();
         self.host.sleep(s / 2.0).await;
-        if self.turns_away(node) {
+        if self.refuses(node) {
             return Response::empty(503);
         }
-        let lost = self.late(&request).or_else(|| self.loses());
+        let lost = self.draw_late_write(&request).or_else(|| self.draw_loss());
         match lost {
             None => {}
             Some((when, late_s)) => {
@@ -229,7 +229,7 @@
                         let own = self.clone();
                         self.host.spawn(async move {
                             own.host.sleep(late_s).await;
-                            while own.down() {
+                            while own.is_down() {
                                 own.host.sleep(LEASE_LATE_S).await;
                             }
                             drop(own.execute(&request));
@@ -243,15 +243,15 @@
                 };
             }
         }
-        while request.path.starts_with("/watch") && self.lags() {
+        while request.path.starts_with("/watch") && self.has_watch_lag() {
             self.host.sleep(LEASE_LATE_S).await;
         }
-        let answer = match self.execute(&request) {
-            ServiceReply::Respond(answer) => answer,
-            ServiceReply::HoldWatch(watch) => self.hold(node, &watch).await,
+        let response = match self.execute(&request) {
+            ServiceReply::Respond(response) => response,
+            ServiceReply::HoldWatch(watch) => self.hold_watch(node, &watch).await,
         };
         self.host.sleep(s / 2.0).await;
-        answer
+        response
     }
 
     fn execute(&self, request: &Request) -> ServiceReply {
@@ -259,20 +259,20 @@
         let before = service.store.revision();
         let reply = service.handle(request, self.host.now());
         if service.store.revision() != before {
-            self.changed(&service);
+            self.publish_change(&service);
         }
         reply
     }
 
     /// Holds a watch; it stays open during an outage and while its controller is refused.
-    async fn hold(&self, node: usize, watch: &HeldWatch) -> Response {
+    async fn hold_watch(&self, node: usize, watch: &HeldWatch) -> Response {
         let until = self.host.now() + watch.hold_ms as f64 / 1000.0;
         loop {
             let changed = self.changed.notified();
-            let away = self.turns_away(node) || self.lags();
+            let away = self.refuses(node) || self.has_watch_lag();
             let over = self.host.now() >= until;
-            if !away && let Some(answer) = lock(&self.service).resume_watch(watch, over) {
-                return answer;
+            if !away && let Some(response) = lock(&self.service).resume_watch(watch, over) {
+                return response;
             }
             let left = if away {
                 LEASE_LATE_S
@@ -292,12 +292,12 @@
                 (at - now).max(0.0) + self.chance() * LEASE_LATE_S
             });
             self.host.sleep(wait.clamp(0.001, LEASE_LATE_S)).await;
-            if self.down() {
+            if self.is_down() {
                 continue;
             }
             let mut service = lock(&self.service);
             if service.store.expire_leases(self.host.now()) > 0 {
-                self.changed(&service);
+                self.publish_change(&service);
             }
         }
     }
@@ -314,12 +314,17 @@
     })
 }
 
-pub(crate) fn named(at: SocketAddr, e: &io::Error) -> io::Error {
+pub(crate) fn with_address(at: SocketAddr, e: &io::Error) -> io::Error {
     io::Error::new(e.kind(), format!("{at}: {e}"))
 }
 
 /// Draws the controllers that a fault hits.
-pub(crate) fn who(who: Who, leader: Option<usize>, nodes: usize, rng: &mut Pcg64) -> Vec<usize> {
+pub(crate) fn draw_controllers(
+    who: Who,
+    leader: Option<usize>,
+    nodes: usize,
+    rng: &mut Pcg64,
+) -> Vec<usize> {
     let drawn = rng.random_range(0..nodes.max(1));
     match who {
         Who::All => (0..nodes).collect(),
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -1,9 +1,9 @@
 //! Injects the scenario's faults, each at its time.
 
 use crate::cloud::Cloud;
-use crate::fabric::{Break, Group, Role, lock};
-use crate::proc::Medium;
-use crate::state::{StateHost, who};
+use crate::fabric::{Group, PathFault, Role, lock};
+use crate::proc::Transport;
+use crate::state::{StateHost, draw_controllers};
 use crate::users::Users;
 use crate::worker::Worker;
 use crate::world::World;
@@ -28,7 +28,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Is {
+enum ControllerState {
     Up,
     Down,
     Frozen,
@@ -40,7 +40,7 @@
     cloud: Arc<Cloud>,
     users: Arc<Users>,
     nodes: Arc<dyn Nodes>,
-    is: Mutex<Vec<Is>>,
+    states: Mutex<Vec<ControllerState>>,
     rng: Mutex<Pcg64>,
 }
 
@@ -49,7 +49,7 @@
 /// Seconds within which such jobs are all cancelled.
 const CANCEL_WITHIN_S: f64 = 0.2;
 /// Most machines that are suspended when jobs are cancelled.
-const HANG_MOST: usize = 8;
+const MAX_SUSPENDED: usize = 8;
 
 async fn wait(s: f64) {
     tokio::time::sleep(Duration::from_secs_f64(s.max(0.0))).await;
@@ -70,48 +70,48 @@
             cloud: cloud.clone(),
             users: users.clone(),
             nodes,
-            is: Mutex::new(vec![Is::Down; count]),
+            states: Mutex::new(vec![ControllerState::Down; count]),
             rng: Mutex::new(world.rng("troubles")),
         })
     }
 
     /// Starts all controllers, and schedules every fault at its time.
     pub fn start(self: &Arc<Self>) {
-        let count = lock(&self.is).len();
+        let count = lock(&self.states).len();
         for node in 0..count {
-            self.node_up(node);
+            self.start_node(node);
         }
         for t in self.world.scenario.all_troubles(self.world.seed) {
             let own = self.clone();
             tokio::spawn(async move {
                 wait(t.at_s() - own.world.now_s()).await;
-                own.make(&t).await;
+                own.inject(&t).await;
             });
         }
     }
 
-    fn node(&self, node: usize, now: &str) {
+    fn record_node(&self, node: usize, now: &str) {
         self.world.record(What::Node {
             node: self.world.node_name(node),
             now: now.to_string(),
         });
     }
 
-    fn node_up(&self, node: usize) {
-        if lock(&self.is)[node] == Is::Down {
-            lock(&self.is)[node] = Is::Up;
-            self.node(node, "up");
+    fn start_node(&self, node: usize) {
+        if lock(&self.states)[node] == ControllerState::Down {
+            lock(&self.states)[node] = ControllerState::Up;
+            self.record_node(node, "up");
             self.nodes.start(node);
         }
     }
 
     /// Kills a controller; the platform restarts it.
     pub fn crash(self: &Arc<Self>, node: usize) {
-        if lock(&self.is)[node] == Is::Down {
+        if lock(&self.states)[node] == ControllerState::Down {
             return;
         }
-        lock(&self.is)[node] = Is::Down;
-        self.node(node, "killed");
+        lock(&self.states)[node] = ControllerState::Down;
+        self.record_node(node, "killed");
         self.nodes.kill(node);
         self.restart(node);
     }
@@ -120,71 +120,73 @@
         let own = self.clone();
         tokio::spawn(async move {
             wait(own.world.scenario.deployment.node.restart_s).await;
-            own.node_up(node);
+            own.start_node(node);
         });
     }
 
     /// Records that a controller exited by itself, which none should, and restarts it.
     pub fn ended(self: &Arc<Self>, node: usize, why: &str) {
-        if lock(&self.is)[node] != Is::Down {
-            lock(&self.is)[node] = Is::Down;
-            self.node(node, &format!("ended by itself: {why}"));
+        if lock(&self.states)[node] != ControllerState::Down {
+            lock(&self.states)[node] = ControllerState::Down;
+            self.record_node(node, &format!("ended by itself: {why}"));
             self.restart(node);
         }
     }
 
     pub fn is_up(&self, node: usize) -> bool {
-        lock(&self.is)[node] == Is::Up
+        lock(&self.states)[node] == ControllerState::Up
     }
 
     pub fn is_frozen(&self, node: usize) -> bool {
-        lock(&self.is)[node] == Is::Frozen
+        lock(&self.states)[node] == ControllerState::Frozen
     }
 
     pub fn leader(&self) -> Option<usize> {
         let label = self.state.leader()?;
-        let count = lock(&self.is).len();
+        let count = lock(&self.states).len();
         (0..count).find(|n| self.world.node_name(*n) == label)
     }
 
-    fn who(&self, which: Who) -> Vec<usize> {
-        let count = lock(&self.is).len();
-        who(which, self.leader(), count, &mut lock(&self.rng))
+    fn draw_controllers(&self, which: Who) -> Vec<usize> {
+        let count = lock(&self.states).len();
+        draw_controllers(which, self.leader(), count, &mut lock(&self.rng))
     }
 
     async fn freeze(&self, node: usize, for_s: f64) {
-        if lock(&self.is)[node] != Is::Up {
+        if lock(&self.states)[node] != ControllerState::Up {
             return;
         }
-        lock(&self.is)[node] = Is::Frozen;
-        self.node(node, "stands still");
+        lock(&self.states)[node] = ControllerState::Frozen;
+        self.record_node(node, "stands still");
         self.nodes.freeze(node);
         wait(for_s).await;
-        let frozen = lock(&self.is)[node] == Is::Frozen;
+        let frozen = lock(&self.states)[node] == ControllerState::Frozen;
         if frozen {
-            lock(&self.is)[node] = Is::Up;
-            self.node(node, "goes on");
+            lock(&self.states)[node] = ControllerState::Up;
+            self.record_node(node, "goes on");
             self.nodes.thaw(node);
         }
     }
 
     /// Breaks paths for the duration of a fault.
-    async fn cut(&self, paths: Vec<(Group, Group)>, how: Break, for_s: f64) {
-        let fabric = &self.world.fabric;
-        let cuts = paths.into_iter().map(|(a, b)| fabric.cut(a, b, how));
+    async fn break_paths(&self, paths: Vec<(Group, Group)>, fault: PathFault, for_s: f64) {
+        let network = &self.world.network;
+        let cuts = paths
+            .into_iter()
+            .map(|(a, b)| network.break_paths(a, b, fault));
         let cuts: Vec<u64> = cuts.collect();
         wait(for_s).await;
         for id in cuts {
-            fabric.mend(id);
+            network.repair(id);
         }
     }
 
     /// Draws the machines whose heartbeats a fault blocks.
-    fn mute(&self, trouble: &MachineMute) -> Vec<Arc<Worker>> {
+    fn draw_outbound_blocked(&self, trouble: &MachineMute) -> Vec<Arc<Worker>> {
         let zone = trouble.zone.as_deref();
         let mut hit = self
             .cloud
-            .draw(trouble.count.unwrap_or(u32::MAX), zone, |_| true);
+            .draw_machines(trouble.count.unwrap_or(u32::MAX), zone, |_| true);
         if let Some(share) = trouble.share.filter(|_| trouble.count.is_none()) {
             hit.truncate((hit.len() as f64 * share).round() as usize);
         }
@@ -194,11 +196,11 @@
     /// Makes users cancel jobs that have long to go, and suspends machines that run them.
     fn cancel_now(&self, trouble: &CancelNow) {
         let mut jobs: BTreeMap<String, Vec<Arc<Worker>>> = BTreeMap::new();
-        for (_, worker) in self.cloud.draw(u32::MAX, None, |_| true) {
+        for (_, worker) in self.cloud.draw_machines(u32::MAX, None, |_| true) {
             for (task, left_s) in worker.running() {
                 if left_s.is_none_or(|s| s >= LONG_TO_GO_S)
                     && let Some((job, _)) = task.split_once('/')
-                    && self.users.waits_for(job)
+                    && self.users.is_waiting_for(job)
                 {
                     let of = jobs.entry(job.to_string()).or_default();
                     of.push(worker.clone());
@@ -217,25 +219,25 @@
         let Some(hang_s) = trouble.hang_s else {
             return;
         };
-        for worker in machines.into_values().take(HANG_MOST) {
-            tokio::spawn(worker.hang(hang_s));
+        for worker in machines.into_values().take(MAX_SUSPENDED) {
+            tokio::spawn(worker.suspend(hang_s));
         }
     }
 
-    async fn make(self: &Arc<Self>, trouble: &Trouble) {
-        if matches!(self.world.medium, Medium::Loopback) && !trouble.on_loopback() {
+    async fn inject(self: &Arc<Self>, trouble: &Trouble) {
+        if matches!(self.world.transport, Transport::Loopback) && !trouble.on_loopback() {
             return;
         }
-        let id = self.world.begin(trouble);
+        let id = self.world.begin_fault(trouble);
         let for_s = trouble.for_s().unwrap_or(0.0);
         match trouble {
             Trouble::NodeCrash(t) => {
-                for node in self.who(t.who) {
+                for node in self.draw_controllers(t.who) {
                     self.crash(node);
                 }
             }
             Trouble::NodeRoll(t) => {
-                let count = lock(&self.is).len();
+                let count = lock(&self.states).len();
                 for node in 0..count {
                     self.crash(node);
                     wait(t.every_s).await;
@@ -243,14 +245,14 @@
             }
             Trouble::NodeEnds(t) => {
                 for _ in 0..t.times {
-                    for node in self.who(t.who) {
+                    for node in self.draw_controllers(t.who) {
                         self.crash(node);
                     }
                     wait(t.every_s).await;
                 }
             }
             Trouble::NodeFreeze(t) => {
-                let all = self.who(t.who).into_iter().map(|n| {
+                let all = self.draw_controllers(t.who).into_iter().map(|n| {
                     let own = self.clone();
                     tokio::spawn(async move { own.freeze(n, for_s).await })
                 });
@@ -259,7 +261,7 @@
                 }
             }
             Trouble::NodeSlow(t) => {
-                let hit = self.who(t.who);
+                let hit = self.draw_controllers(t.who);
                 for n in &hit {
                     self.nodes.slow(*n, t.lag_ms);
                 }
@@ -270,7 +272,7 @@
             }
             Trouble::NodeCut(t) => {
                 let ip = |n: usize| self.world.addresses.nodes[n].0.ip();
-                let hosts: Vec<_> = self.who(t.who).into_iter().map(ip).collect();
+                let hosts: Vec<_> = self.draw_controllers(t.who).into_iter().map(ip).collect();
                 let side = |s: &Side| {
                     Group::Role(match s {
                         Side::State => Role::State,
@@ -284,56 +286,60 @@
                     .from
                     .iter()
                     .map(|s| (Group::Hosts(hosts.clone()), side(s)));
-                self.cut(paths.collect(), Break::Cut(t.mode), for_s).await;
+                self.break_paths(paths.collect(), PathFault::Cut(t.mode), for_s)
+                    .await;
             }
             Trouble::NodeRefused(t) => {
-                self.state.refuse(id, self.who(t.who));
+                self.state.refuse(id, self.draw_controllers(t.who));
                 wait(for_s).await;
                 self.state.accept(id);
             }
             Trouble::PeersRefuse(_) => {
                 let paths = vec![(Group::Role(Role::Node), Group::Role(Role::Node))];
-                self.cut(paths, Break::Refuse, for_s).await;
+                self.break_paths(paths, PathFault::Refuse, for_s).await;
             }
             Trouble::ZoneCut(t) => {
                 let paths = vec![(Group::Zone(t.zone.clone()), Group::Outside(t.zone.clone()))];
-                self.cut(paths, Break::Cut(t.mode), for_s).await;
+                self.break_paths(paths, PathFault::Cut(t.mode), for_s).await;
             }
             Trouble::StateOutage(_) => {
                 wait(for_s).await;
-                self.world.end(id);
-                self.state.recovered();
+                self.world.end_fault(id);
+                self.state.end_outage();
             }
             Trouble::StateBehind(_) => {
-                self.state.set_share();
+                self.state.update_rate_share();
                 wait(for_s).await;
-                self.world.end(id);
-                self.state.set_share();
+                self.world.end_fault(id);
+                self.state.update_rate_share();
             }
-            Trouble::StateLimits(_) => self.state.next_limits(),
+            Trouble::StateLimits(_) => self.state.apply_next_limits(),
             Trouble::MachineDie(t) => {
-                for (name, _) in self.cloud.draw(t.count, t.zone.as_deref(), |_| true) {
-                    self.cloud.die(&name);
+                for (name, _) in self
+                    .cloud
+                    .draw_machines(t.count, t.zone.as_deref(), |_| true)
+                {
+                    self.cloud.power_off(&name);
                 }
             }
             Trouble::MachineHang(t) => {
-                for (_, worker) in self.cloud.draw(t.count, None, |_| true) {
-                    tokio::spawn(worker.hang(for_s));
+                for (_, worker) in self.cloud.draw_machines(t.count, None, |_| true) {
+                    tokio::spawn(worker.suspend(for_s));
                 }
                 wait(for_s).await;
             }
             Trouble::MachineSlow(t) => {
-                let hit = self.cloud.draw(t.count, None, |_| true);
+                let hit = self.cloud.draw_machines(t.count, None, |_| true);
                 for (_, worker) in &hit {
-                    worker.set_traits(|m| m.slow = t.times);
+                    worker.set_traits(|m| m.slowdown = t.times);
                 }
                 wait(for_s).await;
                 for (_, worker) in &hit {
-                    worker.set_traits(|m| m.slow = 1.0);
+                    worker.set_traits(|m| m.slowdown = 1.0);
                 }
             }
             Trouble::MachineFaulty(t) => {
-                let hit = self.cloud.draw(t.count, None, |_| true);
+                let hit = self.cloud.draw_machines(t.count, None, |_| true);
                 for (_, worker) in &hit {
                     worker.set_traits(|m| m.faulty = true);
                 }
@@ -343,38 +349,40 @@
                 }
             }
             Trouble::MachineCut(t) => {
-                let hit = self.cloud.draw(t.count, None, |_| true);
+                let hit = self.cloud.draw_machines(t.count, None, |_| true);
                 let hosts = hit.iter().map(|(_, w)| w.proc.ip).collect();
                 let paths = vec![(Group::Hosts(hosts), Group::Everyone)];
-                self.cut(paths, Break::Cut(t.mode), for_s).await;
+                self.break_paths(paths, PathFault::Cut(t.mode), for_s).await;
             }
             Trouble::MachineDeaf(t) => {
-                let hit = self.cloud.draw(t.count, t.zone.as_deref(), |_| true);
+                let hit = self
+                    .cloud
+                    .draw_machines(t.count, t.zone.as_deref(), |_| true);
                 for (_, worker) in &hit {
-                    worker.set_deaf(true);
+                    worker.set_inbound_blocked(true);
                 }
                 wait(for_s).await;
                 for (_, worker) in &hit {
-                    worker.set_deaf(false);
+                    worker.set_inbound_blocked(false);
                 }
             }
             Trouble::MachineMute(t) => {
-                let hit = self.mute(t);
+                let hit = self.draw_outbound_blocked(t);
                 for worker in &hit {
-                    worker.set_mute(true);
+                    worker.set_outbound_blocked(true);
                 }
                 wait(for_s).await;
                 for worker in &hit {
-                    worker.set_mute(false);
+                    worker.set_outbound_blocked(false);
                 }
             }
             Trouble::CancelNow(t) => {
                 self.cancel_now(t);
                 wait(for_s).await;
             }
-            Trouble::OddRequests(_) => self.users.clone().odd_requests(for_s).await,
+            Trouble::OddRequests(_) => self.users.clone().send_invalid_requests(for_s).await,
             Trouble::SpotWave(t) => {
-                let all = self.cloud.draw(u32::MAX, None, |spot| spot);
+                let all = self.cloud.draw_machines(u32::MAX, None, |spot| spot);
                 let count = (all.len() as f64 * t.share).round() as usize;
                 let hit: Vec<String> = all.into_iter().take(count).map(|(n, _)| n).collect();
                 for (i, name) in hit.into_iter().enumerate() {
@@ -404,6 +412,6 @@
             | Trouble::JobBurst(_)
             | Trouble::PollStorm(_) => wait(for_s).await,
         }
-        self.world.end(id);
+        self.world.end_fault(id);
     }
 }
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -1,9 +1,11 @@
 //! Users behind the load balancer: they submit, retry, query the status of jobs, cancel,
 //! come back later, and query jobs that nobody submitted.
 
-use crate::balancer::{ACCEPT_WAIT_S, Balancer, PROBE_EVERY_S, PROBE_WAIT_S, TRIES};
+use crate::balancer::{
+    ACCEPT_TIMEOUT_S, LoadBalancer, MAX_TRIES, PROBE_INTERVAL_S, PROBE_TIMEOUT_S,
+};
 use crate::fabric::{Role, lock};
-use crate::jobs::{Order, Shop};
+use crate::jobs::{JobGenerator, PlannedJob};
 use crate::proc::Proc;
 use crate::world::World;
 use cherrywood_checker::What;
@@ -20,36 +22,36 @@
 
 /// Seconds that a user waits for the response to a submission or a cancellation, and to a
 /// status query.
-const ANSWER_WAIT_S: f64 = 5.0;
-const POLL_WAIT_S: f64 = 2.0;
+const RESPONSE_TIMEOUT_S: f64 = 5.0;
+const STATUS_TIMEOUT_S: f64 = 2.0;
 /// Least and most seconds after which a refused user retries, and seconds after which the
 /// user gives up.
 const RETRY_S: f64 = 1.0;
 const RETRY_AFTER_MOST_S: f64 = 30.0;
-const RETRY_ALL_S: f64 = 60.0;
+const GIVE_UP_S: f64 = 60.0;
 /// Range of the time after the end of a job at which its user may query it again, s.
-const LATER_S: (f64, f64) = (5.0, 40.0);
+const LATE_QUERY_S: (f64, f64) = (5.0, 40.0);
 /// Time after acceptance at which a job of a pipeline is cancelled, s: least, and width of
 /// the range.
 const CANCEL_STAGE_S: (f64, f64) = (2.0, 60.0);
 /// Share of users who query a job again after its end.
-const LATER_SHARE: f64 = 0.3;
+const LATE_QUERY_SHARE: f64 = 0.3;
 /// Interval for which job arrivals are drawn, s.
-const ARRIVALS_S: f64 = 0.25;
+const ARRIVAL_INTERVAL_S: f64 = 0.25;
 /// Seconds after the beginning at which users arrive; the controllers are up by then.
-const OPENS_S: f64 = 5.0;
+const ARRIVALS_BEGIN_S: f64 = 5.0;
 
 /// The load balancer and all users.
 pub struct Users {
     pub(crate) world: Arc<World>,
     proc: Arc<Proc>,
     pub(crate) host: Runtime,
-    balancer: Mutex<Balancer>,
+    balancer: Mutex<LoadBalancer>,
     /// Number of times that the connections to each controller were reset.
     resets: Mutex<Vec<u64>>,
     /// Job generators of each class, and of each stage of each pipeline.
-    shop: Vec<Mutex<Shop>>,
-    stages: Vec<Vec<Mutex<Shop>>>,
+    generators: Vec<Mutex<JobGenerator>>,
+    stage_generators: Vec<Vec<Mutex<JobGenerator>>>,
     /// Accepted jobs whose users wait for their end, with their submissions.
     pub(crate) open: Mutex<BTreeMap<String, Submission>>,
     /// Jobs that were reported as done to their users.
@@ -57,27 +59,27 @@
 }
 
 /// A user's connection through the load balancer.
-pub(crate) struct Line {
+pub(crate) struct UserConnection {
     users: Arc<Users>,
     stream: Stream,
     node: usize,
     resets: u64,
 }
 
-impl Drop for Line {
+impl Drop for UserConnection {
     fn drop(&mut self) {
         lock(&self.users.balancer).closed(self.node);
     }
 }
 
 /// The outcome of a request.
-pub(crate) struct Told {
+pub(crate) struct Outcome {
     status: u16,
     state: Option<JobState>,
     retry_after_s: Option<f64>,
 }
 
-impl Told {
+impl Outcome {
     /// Whether the response reports a final state of the job.
     pub(crate) fn is_final(&self) -> bool {
         self.state.is_some_and(|s| state(s).is_final())
@@ -101,24 +103,24 @@
 
 impl Users {
     pub fn start(world: &Arc<World>) -> Arc<Users> {
-        let proc = world.region("users", Role::Users);
+        let proc = world.region_process("users", Role::Users);
         let nodes = world.addresses.nodes.len();
-        let (classes, stages) = Shop::all(world);
+        let (classes, stages) = JobGenerator::all(world);
         let stages = stages.into_iter();
         let stages = stages.map(|of| of.into_iter().map(Mutex::new).collect());
         let me = Arc::new(Users {
             world: world.clone(),
             host: proc.host(),
             proc,
-            balancer: Mutex::new(Balancer::new(nodes)),
+            balancer: Mutex::new(LoadBalancer::new(nodes)),
             resets: Mutex::new(vec![0; nodes]),
-            shop: classes.into_iter().map(Mutex::new).collect(),
-            stages: stages.collect(),
+            generators: classes.into_iter().map(Mutex::new).collect(),
+            stage_generators: stages.collect(),
             open: Mutex::default(),
             done: Mutex::default(),
         });
         let own = me.clone();
-        me.host.spawn(async move { own.meet_ends().await });
+        me.host.spawn(async move { own.watch_job_ends().await });
         for node in 0..nodes {
             let own = me.clone();
             me.host.spawn(async move { own.probe(node).await });
@@ -133,7 +135,7 @@
         }
         if world.scenario.workload.strangers_per_minute > 0.0 {
             let own = me.clone();
-            me.host.spawn(async move { own.strangers().await });
+            me.host.spawn(async move { own.query_unknown_jobs().await });
         }
         me
     }
@@ -143,10 +145,10 @@
     }
 
     pub fn healthy(&self, node: usize) -> bool {
-        lock(&self.balancer).healthy(node)
+        lock(&self.balancer).is_healthy(node)
     }
 
-    fn playing(&self) -> bool {
+    fn is_playing(&self) -> bool {
         self.world.now_s() < self.world.scenario.play_s
     }
 
@@ -156,53 +158,53 @@
         let to = self.world.addresses.nodes[node].0;
         // The probes of the controllers are spread over the interval.
         self.host
-            .sleep(self.host.random_between(0.0, PROBE_EVERY_S))
+            .sleep(self.host.random_between(0.0, PROBE_INTERVAL_S))
             .await;
         loop {
             let started = self.host.now();
             let work = async {
                 let mut stream = self.host.connect(to).await.ok()?;
-                let answer = exchange(&mut stream, to, "GET", "/healthz", None)
+                let response = exchange(&mut stream, to, "GET", "/healthz", None)
                     .await
                     .ok()?;
-                Some(answer.status)
+                Some(response.status)
             };
-            let ok = self.host.timeout(PROBE_WAIT_S, work).await == Ok(Some(200));
+            let ok = self.host.timeout(PROBE_TIMEOUT_S, work).await == Ok(Some(200));
             let reset = {
                 let now = self.host.now();
                 let mut b = lock(&self.balancer);
-                b.probed(node, ok, now);
-                b.resets(node, now)
+                b.record_probe(node, ok, now);
+                b.takes_reset(node, now)
             };
             if reset {
                 lock(&self.resets)[node] += 1;
-                self.world.fabric.reset_between(self.proc.ip, to.ip());
+                self.world.network.reset_between(self.proc.ip, to.ip());
             }
-            let left = PROBE_EVERY_S - (self.host.now() - started);
+            let left = PROBE_INTERVAL_S - (self.host.now() - started);
             self.host.sleep(left.max(0.0)).await;
         }
     }
 
-    async fn connect(self: &Arc<Self>) -> Option<Line> {
+    async fn connect(self: &Arc<Self>) -> Option<UserConnection> {
         let mut tried = Vec::new();
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             let chance = self.host.random_between(0.0, 1.0);
             let now = self.host.now();
             let node = lock(&self.balancer).choose(&tried, chance, now)?;
             tried.push(node);
             let to = self.world.addresses.nodes[node].0;
             let connecting = self.host.connect(to);
-            match self.host.timeout(ACCEPT_WAIT_S, connecting).await {
-                Ok(Ok(stream)) => return Some(self.line(stream, node)),
-                _ => lock(&self.balancer).refused(node, self.host.now()),
+            match self.host.timeout(ACCEPT_TIMEOUT_S, connecting).await {
+                Ok(Ok(stream)) => return Some(self.open_connection(stream, node)),
+                _ => lock(&self.balancer).record_failure(node, self.host.now()),
             }
         }
         None
     }
 
-    fn line(self: &Arc<Self>, stream: Stream, node: usize) -> Line {
+    fn open_connection(self: &Arc<Self>, stream: Stream, node: usize) -> UserConnection {
         lock(&self.balancer).connected(node);
-        Line {
+        UserConnection {
             users: self.clone(),
             stream,
             node,
@@ -211,10 +213,10 @@
     }
 
     /// Connects to the given controller directly, without a choice by the load balancer.
-    pub(crate) async fn connect_to(self: &Arc<Self>, node: usize) -> Option<Line> {
+    pub(crate) async fn connect_to(self: &Arc<Self>, node: usize) -> Option<UserConnection> {
         let connecting = self.host.connect(self.address(node));
-        let stream = self.host.timeout(ACCEPT_WAIT_S, connecting).await;
-        Some(self.line(stream.ok()?.ok()?, node))
+        let stream = self.host.timeout(ACCEPT_TIMEOUT_S, connecting).await;
+        Some(self.open_connection(stream.ok()?.ok()?, node))
     }
 
     fn address(&self, node: usize) -> SocketAddr {
@@ -222,22 +224,26 @@
     }
 
     /// Sends one request on the user's connection, or on a new one, and records the outcome.
-    pub(crate) async fn ask(
+    pub(crate) async fn send(
         self: &Arc<Self>,
-        line: &mut Option<Line>,
+        connection: &mut Option<UserConnection>,
         ask: Ask,
         job: &str,
         body: Option<&[u8]>,
-    ) -> Told {
+    ) -> Outcome {
         let sent_ms = self.world.now_ms();
         let (method, path, wait_s) = match ask {
-            Ask::Submit => ("POST", "/submissions".to_string(), ANSWER_WAIT_S),
-            Ask::Poll => ("GET", format!("/submissions/{job}"), POLL_WAIT_S),
-            Ask::Cancel => ("POST", format!("/submissions/{job}/cancel"), ANSWER_WAIT_S),
+            Ask::Submit => ("POST", "/submissions".to_string(), RESPONSE_TIMEOUT_S),
+            Ask::Poll => ("GET", format!("/submissions/{job}"), STATUS_TIMEOUT_S),
+            Ask::Cancel => (
+                "POST",
+                format!("/submissions/{job}/cancel"),
+                RESPONSE_TIMEOUT_S,
+            ),
         };
         let mut node = String::new();
         let work = async {
-            let kept = line.take();
+            let kept = connection.take();
             let kept = kept.filter(|l| l.resets == lock(&self.resets)[l.node]);
             let mut open = match kept {
                 Some(open) => open,
@@ -246,15 +252,15 @@
             node = self.world.node_name(open.node);
             let to = self.address(open.node);
             let told = exchange(&mut open.stream, to, method, &path, body).await;
-            let answer = told.ok()?;
-            if !answer.close {
-                *line = Some(open);
+            let response = told.ok()?;
+            if !response.close {
+                *connection = Some(open);
             }
-            Some(answer)
+            Some(response)
         };
-        let answer: Option<ClientResponse> = self.host.timeout(wait_s, work).await.ok().flatten();
-        let status = answer.as_ref().map_or(0, |a| a.status);
-        let told: Option<JobStatus> = answer
+        let response: Option<ClientResponse> = self.host.timeout(wait_s, work).await.ok().flatten();
+        let status = response.as_ref().map_or(0, |a| a.status);
+        let told: Option<JobStatus> = response
             .as_ref()
             .filter(|a| matches!(a.status, 200 | 201))
             .and_then(|a| decode(&a.body).ok());
@@ -267,10 +273,10 @@
             state: said.map(state),
             node,
         });
-        Told {
+        Outcome {
             status,
             state: said,
-            retry_after_s: answer.and_then(|a| a.retry_after_s),
+            retry_after_s: response.and_then(|a| a.retry_after_s),
         }
     }
 
@@ -281,17 +287,17 @@
     async fn arrivals(self: Arc<Self>, class: usize) {
         let c = self.world.scenario.workload.classes[class].clone();
         let mut rng = self.world.rng(&format!("arrivals of {}", c.name));
-        self.host.sleep(OPENS_S).await;
+        self.host.sleep(ARRIVALS_BEGIN_S).await;
         for _ in 0..c.at_start {
             self.arrive(class, 0.0);
         }
-        while self.playing() {
+        while self.is_playing() {
             let burst = |t: &Trouble| match t {
                 Trouble::JobBurst(t) if t.class == c.name => Some(t.times),
                 _ => None,
             };
             let times = self.world.now_in(burst).into_iter().fold(1.0, f64::max);
-            let expected = c.per_minute / 60.0 * ARRIVALS_S * times;
+            let expected = c.per_minute / 60.0 * ARRIVAL_INTERVAL_S * times;
             // Poisson distribution by Knuth's method; the expected count in so short a time
             // is small.
             let (least, mut chance, mut n) = (libm::exp(-expected), 1.0, 0);
@@ -303,62 +309,71 @@
                 n += 1;
             }
             for _ in 0..n {
-                let after = rng.random::<f64>() * ARRIVALS_S;
+                let after = rng.random::<f64>() * ARRIVAL_INTERVAL_S;
                 self.arrive(class, after);
             }
-            self.host.sleep(ARRIVALS_S).await;
+            self.host.sleep(ARRIVAL_INTERVAL_S).await;
         }
     }
 
     fn arrive(self: &Arc<Self>, class: usize, after_s: f64) {
-        let order = lock(&self.shop[class]).order(&self.world);
+        let planned = lock(&self.generators[class]).next_job(&self.world);
         let own = self.clone();
         self.host.spawn(async move {
             own.host.sleep(after_s).await;
-            own.user(order).await;
+            own.run_user(planned).await;
         });
     }
 
-    async fn user(self: Arc<Self>, order: Order) {
-        let id = order.submission.id.clone();
-        self.world.upload(order.upload.clone(), order.job.clone());
-        let body = encode(&order.submission);
-        let mut line = None;
-        let accepted = self.submit(&mut line, &id, &body).await;
+    async fn run_user(self: Arc<Self>, planned: PlannedJob) {
+        let id = planned.submission.id.clone();
+        self.world
+            .upload(planned.upload.clone(), planned.job.clone());
+        let body = encode(&planned.submission);
+        let mut connection = None;
+        let accepted = self.submit(&mut connection, &id, &body).await;
         if !accepted {
-            self.world.close();
+            self.world.close_job();
             return;
         }
-        self.stay(line, order, body).await;
+        self.follow_job(connection, planned, body).await;
     }
 
     /// Follows an accepted job to its end: queries, cancellation, and what the user does
     /// afterwards.
-    async fn stay(self: Arc<Self>, mut line: Option<Line>, order: Order, body: Vec<u8>) {
-        let id = order.submission.id.clone();
-        lock(&self.open).insert(id.clone(), order.submission.clone());
-        self.look_closely(&id);
+    async fn follow_job(
+        self: Arc<Self>,
+        mut connection: Option<UserConnection>,
+        planned: PlannedJob,
+        body: Vec<u8>,
+    ) {
+        let id = planned.submission.id.clone();
+        lock(&self.open).insert(id.clone(), planned.submission.clone());
+        self.query_all_controllers(&id);
         let now = self.host.now();
         let between = |(least, most)| self.host.random_between(least, most);
         let left = (self.world.scenario.play_s - self.world.now_s()).max(0.0);
-        let cancel_at = order.cancel_after_s.map(|s| match order.job_stands {
-            true => now + s.min(left),
-            false => now + s,
-        });
-        let end = self.watch(&mut line, &id, cancel_at).await;
-        self.look_closely(&id);
+        let cancel_at = planned
+            .cancel_after_s
+            .map(|s| match planned.runs_until_cancelled {
+                true => now + s.min(left),
+                false => now + s,
+            });
+        let end = self.wait_for_end(&mut connection, &id, cancel_at).await;
+        self.query_all_controllers(&id);
         lock(&self.open).remove(&id);
         if end == JobState::Done {
             lock(&self.done).push(id.clone());
         }
-        self.world.close();
-        if self.host.random_between(0.0, 1.0) < LATER_SHARE {
-            self.host.sleep(between(LATER_S)).await;
-            self.ask(&mut line, Ask::Poll, &id, None).await;
+        self.world.close_job();
+        if self.host.random_between(0.0, 1.0) < LATE_QUERY_SHARE {
+            self.host.sleep(between(LATE_QUERY_S)).await;
+            self.send(&mut connection, Ask::Poll, &id, None).await;
         }
-        if order.repeats {
-            self.host.sleep(between(LATER_S)).await;
-            self.ask(&mut line, Ask::Submit, &id, Some(&body)).await;
+        if planned.resubmits {
+            self.host.sleep(between(LATE_QUERY_S)).await;
+            self.send(&mut connection, Ask::Submit, &id, Some(&body))
+                .await;
         }
     }
 
@@ -370,8 +385,8 @@
         if p.per_minute <= 0.0 {
             return;
         }
-        self.host.sleep(OPENS_S).await;
-        while self.playing() {
+        self.host.sleep(ARRIVALS_BEGIN_S).await;
+        while self.is_playing() {
             let own = self.clone();
             let chances = [rng.random::<f64>(), rng.random(), rng.random()];
             self.host
@@ -385,17 +400,19 @@
     /// Submits the jobs of one pipeline, each once the jobs that it depends on are accepted.
     async fn pipeline(self: Arc<Self>, n: usize, [late, cancels, which]: [f64; 3]) {
         let p = self.world.scenario.workload.pipelines[n].clone();
-        let mut orders: Vec<Vec<Order>> = Vec::new();
+        let mut planned_jobs: Vec<Vec<PlannedJob>> = Vec::new();
         // Length of the longest path up to the end of each stage, s, by the owners'
         // estimates.
         let mut path: Vec<f64> = Vec::new();
         for (at, stage) in p.stages.iter().enumerate() {
-            let mut shop = lock(&self.stages[n][at]);
-            let mut of: Vec<Order> = (0..stage.jobs).map(|_| shop.order(&self.world)).collect();
+            let mut generator = lock(&self.stage_generators[n][at]);
+            let mut of: Vec<PlannedJob> = (0..stage.jobs)
+                .map(|_| generator.next_job(&self.world))
+                .collect();
             let before = stage.needs.iter().map(|m| path[*m]).fold(0.0, f64::max);
             let own = of.iter().map(|o| o.submission.estimate_s);
             path.push(before + own.fold(0.0, f64::max));
-            let needs = stage.needs.iter().flat_map(|m| &orders[*m]);
+            let needs = stage.needs.iter().flat_map(|m| &planned_jobs[*m]);
             let needs: Vec<String> = needs.map(|o| o.submission.id.clone()).collect();
             let last = at + 1 == p.stages.len();
             for o in &mut of {
@@ -405,38 +422,39 @@
                 let due = p.due_factor.filter(|_| last);
                 o.submission.deadline_s = due.map(|f| f * path[at] + p.due_plus_s);
             }
-            orders.push(of);
+            planned_jobs.push(of);
         }
-        let all: usize = orders.iter().map(Vec::len).sum();
+        let all: usize = planned_jobs.iter().map(Vec::len).sum();
         if cancels < p.cancelled {
             let at = ((which * all as f64) as usize).min(all - 1);
-            if let Some(o) = orders.iter_mut().flatten().nth(at) {
+            if let Some(o) = planned_jobs.iter_mut().flatten().nth(at) {
                 o.cancel_after_s = Some(CANCEL_STAGE_S.0 + which * CANCEL_STAGE_S.1);
             }
         }
-        let last = orders.len() - 1;
+        let last = planned_jobs.len() - 1;
         let mut waits = Vec::new();
-        for (at, stage) in orders.into_iter().enumerate() {
+        for (at, stage) in planned_jobs.into_iter().enumerate() {
             if at == last && last > 0 && late < p.late {
                 for over in waits.drain(..) {
                     let _: Result<(), _> = over.await;
                 }
             }
-            for order in stage {
-                let id = order.submission.id.clone();
-                self.world.upload(order.upload.clone(), order.job.clone());
-                let body = encode(&order.submission);
-                let mut line = None;
-                if !self.submit(&mut line, &id, &body).await {
+            for planned in stage {
+                let id = planned.submission.id.clone();
+                self.world
+                    .upload(planned.upload.clone(), planned.job.clone());
+                let body = encode(&planned.submission);
+                let mut connection = None;
+                if !self.submit(&mut connection, &id, &body).await {
                     // The jobs of later stages cannot be submitted.
-                    self.world.close();
+                    self.world.close_job();
                     return;
                 }
                 let (over, told) = tokio::sync::oneshot::channel();
                 waits.push(told);
                 let own = self.clone();
                 self.host.spawn(async move {
-                    own.stay(line, order, body).await;
+                    own.follow_job(connection, planned, body).await;
                     let _ = over.send(());
                 });
             }
@@ -446,7 +464,7 @@
     /// Submits until the job is accepted (true), or refused or given up (false).
     pub(crate) async fn submit(
         self: &Arc<Self>,
-        line: &mut Option<Line>,
+        connection: &mut Option<UserConnection>,
         id: &str,
         body: &[u8],
     ) -> bool {
@@ -456,7 +474,7 @@
         let impatient = self.world.scenario.workload.impatient;
         let impatient = impatient > 0.0 && self.host.random_between(0.0, 1.0) < impatient;
         loop {
-            let told = self.ask(line, Ask::Submit, id, Some(body)).await;
+            let told = self.send(connection, Ask::Submit, id, Some(body)).await;
             match told.status {
                 200 | 201 => return true,
                 400 | 422 => return false,
@@ -465,7 +483,7 @@
             let asked_s = told.retry_after_s.filter(|_| !impatient);
             let wait = asked_s.unwrap_or(0.0).min(RETRY_AFTER_MOST_S);
             let wait = wait.max(RETRY_S) * self.host.random_between(1.0, 1.2);
-            if self.host.now() + wait - first > RETRY_ALL_S {
+            if self.host.now() + wait - first > GIVE_UP_S {
                 self.world.record(What::GaveUp {
                     job: id.to_string(),
                 });
@@ -477,9 +495,9 @@
 
     /// Queries the status until the job has ended, and cancels the job when `cancel_at` is
     /// reached.
-    async fn watch(
+    async fn wait_for_end(
         self: &Arc<Self>,
-        line: &mut Option<Line>,
+        connection: &mut Option<UserConnection>,
         id: &str,
         cancel_at: Option<f64>,
     ) -> JobState {
@@ -509,7 +527,7 @@
                 });
             }
             let told = self
-                .ask(line, ask, id, (ask == Ask::Cancel).then_some(&[]))
+                .send(connection, ask, id, (ask == Ask::Cancel).then_some(&[]))
                 .await;
             if let Some(end) = told.state.filter(|s| state(*s).is_final()) {
                 return end;
@@ -520,16 +538,16 @@
         }
     }
 
-    async fn strangers(self: Arc<Self>) {
+    async fn query_unknown_jobs(self: Arc<Self>) {
         let mut rng = self.world.rng("strangers");
         let every = 60.0 / self.world.scenario.workload.strangers_per_minute;
-        while self.playing() {
+        while self.is_playing() {
             self.host
                 .sleep(every * self.host.random_between(0.5, 1.5))
                 .await;
             // No user's id has this prefix: users' ids have six digits, these seven.
             let id = format!("wk-9{:06}", rng.random_range(0..1_000_000));
-            self.ask(&mut None, Ask::Poll, &id, None).await;
+            self.send(&mut None, Ask::Poll, &id, None).await;
         }
     }
 }
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -3,10 +3,11 @@
 
 use crate::fabric::{Role, lock};
 use crate::machine::{Machine, Traits};
-use crate::proc::{Medium, Proc};
-use crate::state::named;
-use crate::world::{GONE, World};
+use crate::proc::{Proc, Transport};
+use crate::state::with_address;
+use crate::world::World;
 use cherrywood_checker::What;
+use cherrywood_checker::history::Off;
 use cherrywood_net::client::{ClientResponse, exchange};
 use cherrywood_net::server::{self, Request, Response};
 use cherrywood_net::{NetError, NotExecutedCause, Runtime, Stream};
@@ -24,20 +25,20 @@
 /// Shortest wait, s: the resolution of the simulation's clock.
 const LEAST_WAIT_S: f64 = 0.001;
 /// Seconds that a worker waits for a response, and before it tries the next controller.
-const ANSWER_WAIT_S: f64 = 4.0;
-const NEXT_NODE_S: f64 = 1.0;
+const RESPONSE_TIMEOUT_S: f64 = 4.0;
+const NEXT_CONTROLLER_S: f64 = 1.0;
 /// Least seconds between two heartbeats, and most seconds before a redirect is followed.
-const REPORT_LEAST_S: f64 = 0.5;
+const HEARTBEAT_LEAST_S: f64 = 0.5;
 const REDIRECT_S: f64 = 0.5;
 /// Fraction by which the interval between two heartbeats varies.
-const REPORT_VARIES: f64 = 0.25;
+const HEARTBEAT_VARIATION: f64 = 0.25;
 /// Seconds after which the connection of a command that does not reach the worker is closed.
-const DEAF_S: f64 = 10.0;
+const UNREACHABLE_CLOSE_S: f64 = 10.0;
 /// Range of the delay of a direct command that arrives late, s.
 const LATE_COMMAND_S: (f64, f64) = (2.0, 16.0);
 /// Least delay of a heartbeat's copy, s, and the most, in leases.
-const LATE_REPORT_S: f64 = 2.0;
-const LATE_REPORT_LEASES: f64 = 2.5;
+const LATE_HEARTBEAT_S: f64 = 2.0;
+const LATE_HEARTBEAT_LEASES: f64 = 2.5;
 /// Most connections from controllers.
 const CONNECTIONS: usize = 200;
 const PORT: u16 = 9000;
@@ -52,19 +53,19 @@
     changed: Notify,
     tick: Notify,
     /// Whether responses and direct commands fail to reach the worker.
-    deaf: AtomicBool,
+    inbound_blocked: AtomicBool,
     /// Whether the worker's heartbeats fail to reach any controller.
-    mute: AtomicBool,
+    outbound_blocked: AtomicBool,
 }
 
 /// The controller of the next heartbeat.
-enum Next {
+enum NextController {
     Stay,
     /// Another controller, after this many seconds.
-    Go(usize, f64),
+    Switch(usize, f64),
 }
 
-fn address(machine: &str) -> IpAddr {
+fn worker_ip(machine: &str) -> IpAddr {
     let n: u32 = machine.trim_start_matches("vm-").parse().unwrap_or(0);
     let [_, a, b, c] = n.to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(10, 16 + a, b, c))
@@ -72,7 +73,8 @@
 
 /// Returns the address of a machine's worker if the machine's name determines it.
 pub fn endpoint(world: &World, machine: &str) -> Option<String> {
-    matches!(world.medium, Medium::Fabric(_)).then(|| format!("{}:{PORT}", address(machine)))
+    matches!(world.transport, Transport::Simulated(_))
+        .then(|| format!("{}:{PORT}", worker_ip(machine)))
 }
 
 impl Worker {
@@ -85,18 +87,18 @@
         spot: bool,
         traits: Traits,
     ) -> io::Result<Arc<Worker>> {
-        let ip = match world.medium {
-            Medium::Fabric(_) => address(name),
-            Medium::Loopback => Ipv4Addr::LOCALHOST.into(),
+        let ip = match world.transport {
+            Transport::Simulated(_) => worker_ip(name),
+            Transport::Loopback => Ipv4Addr::LOCALHOST.into(),
         };
         let proc = world.proc(name, ip, Role::Worker, Some(zone));
         let host = proc.host();
-        let port = match world.medium {
-            Medium::Fabric(_) => PORT,
-            Medium::Loopback => 0,
+        let port = match world.transport {
+            Transport::Simulated(_) => PORT,
+            Transport::Loopback => 0,
         };
         let at = SocketAddr::new(ip, port);
-        let listener = host.bind(at).await.map_err(|e| named(at, &e))?;
+        let listener = host.bind(at).await.map_err(|e| with_address(at, &e))?;
         let addr = listener.local_addr()?.to_string();
         let lease_s = world.scenario.deployment.workers.lease_s;
         let now = host.now();
@@ -108,22 +110,22 @@
             machine: Mutex::new(machine),
             changed: Notify::new(),
             tick: Notify::new(),
-            deaf: AtomicBool::new(false),
-            mute: AtomicBool::new(false),
+            inbound_blocked: AtomicBool::new(false),
+            outbound_blocked: AtomicBool::new(false),
         });
         let own = me.clone();
         let on_request = Arc::new(move |request, _: SocketAddr| {
             let own = own.clone();
             async move {
-                if own.deaf.load(Ordering::Relaxed) {
-                    own.host.sleep(DEAF_S).await;
+                if own.inbound_blocked.load(Ordering::Relaxed) {
+                    own.host.sleep(UNREACHABLE_CLOSE_S).await;
                     return Response {
                         close: true,
                         ..Response::empty(503)
                     };
                 }
-                if own.delays(&request) {
-                    return own.serve_late(request).await;
+                if own.draws_delay(&request) {
+                    return own.serve_delayed(request).await;
                 }
                 own.serve(request)
             }
@@ -135,22 +137,22 @@
             on_request,
         ));
         let own = me.clone();
-        host.spawn(async move { own.pass_time().await });
+        host.spawn(async move { own.advance_time().await });
         let own = me.clone();
-        host.spawn(async move { own.report().await });
+        host.spawn(async move { own.send_heartbeats().await });
         Ok(me)
     }
 
     /// Applies an operation to the machine and records the resulting events.
-    fn with<T>(&self, act: impl FnOnce(&mut Machine, f64) -> T) -> T {
-        let (out, notes, changed) = {
+    fn update_machine<T>(&self, act: impl FnOnce(&mut Machine, f64) -> T) -> T {
+        let (out, events, changed) = {
             let mut m = lock(&self.machine);
             let out = act(&mut m, self.host.now());
-            (out, m.notes(), m.changed)
+            (out, m.take_events(), m.changed)
         };
         let name = &self.proc.name;
-        if !notes.is_empty() {
-            self.world.note(name, notes);
+        if !events.is_empty() {
+            self.world.record_machine_events(name, events);
         }
         self.tick.notify_one();
         if changed {
@@ -159,23 +161,25 @@
         out
     }
 
-    pub fn load(&self) -> (usize, usize) {
-        lock(&self.machine).load()
+    pub fn task_counts(&self) -> (usize, usize) {
+        lock(&self.machine).task_counts()
     }
 
     pub fn set_traits(&self, change: impl FnOnce(&mut Traits)) {
-        self.with(|m, now| {
+        self.update_machine(|m, now| {
             m.advance(now);
             change(&mut m.traits);
         });
     }
 
-    pub fn set_deaf(&self, deaf: bool) {
-        self.deaf.store(deaf, Ordering::Relaxed);
+    pub fn set_inbound_blocked(&self, inbound_blocked: bool) {
+        self.inbound_blocked
+            .store(inbound_blocked, Ordering::Relaxed);
     }
 
-    pub fn set_mute(&self, mute: bool) {
-        self.mute.store(mute, Ordering::Relaxed);
+    pub fn set_outbound_blocked(&self, outbound_blocked: bool) {
+        self.outbound_blocked
+            .store(outbound_blocked, Ordering::Relaxed);
     }
 
     /// Returns the running tasks and the seconds that each needs at least; `None` for those
@@ -185,23 +189,23 @@
     }
 
     /// Announces that the cloud reclaims the machine in `s` seconds.
-    pub fn notice(&self, s: f64) {
-        self.with(|m, now| m.notice(now + s));
+    pub fn give_spot_notice(&self, s: f64) {
+        self.update_machine(|m, now| m.give_spot_notice(now + s));
     }
 
     /// Powers the machine off; everything on it is lost.
-    pub fn die(&self) {
-        self.with(|m, now| {
+    pub fn power_off(&self) {
+        self.update_machine(|m, now| {
             m.advance(now);
-            m.end_all(GONE);
+            m.end_all_tasks(Off::Gone);
         });
-        self.world.fabric.cut_power(self.proc.ip);
+        self.world.network.power_off(self.proc.ip);
         self.proc.kill();
     }
 
     /// Suspends the machine for `for_s` seconds; its lease may expire meanwhile.
-    pub async fn hang(self: Arc<Self>, for_s: f64) {
-        self.with(|m, now| m.advance(now));
+    pub async fn suspend(self: Arc<Self>, for_s: f64) {
+        self.update_machine(|m, now| m.advance(now));
         self.proc.freeze();
         // Sleeps on the scenario's clock, because this process is suspended.
         let until = self.host.now() + for_s;
@@ -212,8 +216,8 @@
             ))
             .await;
             if !self.proc.is_dead() {
-                self.with(|m, now| {
-                    m.stood_still(now);
+                self.update_machine(|m, now| {
+                    m.skip_suspension(now);
                     m.advance(now);
                 });
             }
@@ -221,18 +225,18 @@
         let left = (until - self.host.now()).max(0.0);
         tokio::time::sleep(std::time::Duration::from_secs_f64(left)).await;
         if !self.proc.is_dead() {
-            self.with(|m, now| m.stood_still(now));
+            self.update_machine(|m, now| m.skip_suspension(now));
             self.proc.thaw();
         }
     }
 
-    async fn pass_time(&self) {
+    async fn advance_time(&self) {
         loop {
-            let due = self.with(|m, now| {
+            let due = self.update_machine(|m, now| {
                 m.advance(now);
                 m.next_due() - now
             });
-            // `with` has just notified this loop itself.
+            // `update_machine` has just notified this loop itself.
             self.tick.notified().await;
             let _ = self
                 .host
@@ -244,19 +248,20 @@
     fn serve(&self, request: Request) -> Response {
         let world = self.world.clone();
         let report = |code: u16| {
-            let body = self.with(|m, now| {
+            let body = self.update_machine(|m, now| {
                 m.advance(now);
-                encode(&m.report(now))
+                encode(&m.heartbeat(now))
             });
             Response::new(code, body)
         };
         match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/orders") => {
-                let Ok(orders) = decode::<DirectCommands>(&request.body) else {
+                let Ok(commands) = decode::<DirectCommands>(&request.body) else {
                     return Response::empty(400);
                 };
-                let mut sheet = |task: &str| world.sheet(task);
-                let done = self.with(|m, now| m.ordered(&orders, now, &mut sheet));
+                let mut spec = |task: &str| world.task_spec(task);
+                let done = self
+                    .update_machine(|m, now| m.handle_direct_commands(&commands, now, &mut spec));
                 report(if done { 200 } else { 409 })
             }
             ("GET", "/status") => report(200),
@@ -265,7 +270,7 @@
     }
 
     /// Draws whether a fault delays this direct command.
-    fn delays(&self, request: &Request) -> bool {
+    fn draws_delay(&self, request: &Request) -> bool {
         if request.path != "/orders" {
             return false;
         }
@@ -280,7 +285,7 @@
     }
 
     /// Executes the command seconds later; its sender gets no response.
-    async fn serve_late(self: Arc<Self>, request: Request) -> Response {
+    async fn serve_delayed(self: Arc<Self>, request: Request) -> Response {
         let (own, late_s) = (
             self.clone(),
             self.host.random_between(LATE_COMMAND_S.0, LATE_COMMAND_S.1),
@@ -298,7 +303,7 @@
 
     // --- heartbeats ---
 
-    async fn report(&self) {
+    async fn send_heartbeats(&self) {
         let nodes = self.world.addresses.nodes.len();
         let every = self.world.scenario.deployment.workers.report_s;
         let mut node = (self.host.random() % nodes as u64) as usize;
@@ -313,7 +318,7 @@
                 let changed = self.changed.notified();
                 let now = self.host.now();
                 let due = if lock(&self.machine).changed {
-                    next.min(last + REPORT_LEAST_S)
+                    next.min(last + HEARTBEAT_LEAST_S)
                 } else {
                     next
                 };
@@ -327,17 +332,17 @@
                 let _ = self.host.timeout(wait, changed).await;
             }
             let sent = self.host.now();
-            let (body, session) = self.with(|m, now| {
+            let (body, incarnation) = self.update_machine(|m, now| {
                 m.advance(now);
                 m.changed = false;
-                (encode(&m.report(now)), m.session)
+                (encode(&m.heartbeat(now)), m.incarnation)
             });
             last = sent;
-            if self.mute.load(Ordering::Relaxed) {
+            if self.outbound_blocked.load(Ordering::Relaxed) {
                 kept = None;
-                self.host.sleep(ANSWER_WAIT_S).await;
+                self.host.sleep(RESPONSE_TIMEOUT_S).await;
                 node = (node + 1) % nodes;
-                not_before = self.host.now() + NEXT_NODE_S;
+                not_before = self.host.now() + NEXT_CONTROLLER_S;
                 next = not_before;
                 continue;
             }
@@ -345,22 +350,24 @@
                 + every
                     * self
                         .host
-                        .random_between(1.0 - REPORT_VARIES, 1.0 + REPORT_VARIES);
+                        .random_between(1.0 - HEARTBEAT_VARIATION, 1.0 + HEARTBEAT_VARIATION);
             let to = self.world.addresses.nodes[node].0;
             let work = self.send(&mut kept, to, &body);
-            let answer = self.host.timeout(ANSWER_WAIT_S, work).await;
-            self.copy(&body);
-            let deaf = self.deaf.load(Ordering::Relaxed);
-            if deaf {
-                let left = sent + ANSWER_WAIT_S - self.host.now();
+            let response = self.host.timeout(RESPONSE_TIMEOUT_S, work).await;
+            self.send_late_copies(&body);
+            let inbound_blocked = self.inbound_blocked.load(Ordering::Relaxed);
+            if inbound_blocked {
+                let left = sent + RESPONSE_TIMEOUT_S - self.host.now();
                 self.host.sleep(left.max(0.0)).await;
             }
-            let outcome = match answer {
-                Ok(Ok(answer)) if !deaf => self.answered(&answer, node, session, sent),
-                _ => Next::Go((node + 1) % nodes, NEXT_NODE_S),
+            let outcome = match response {
+                Ok(Ok(response)) if !inbound_blocked => {
+                    self.handle_response(&response, node, incarnation, sent)
+                }
+                _ => NextController::Switch((node + 1) % nodes, NEXT_CONTROLLER_S),
             };
             not_before = f64::NEG_INFINITY;
-            if let Next::Go(to, after) = outcome {
+            if let NextController::Switch(to, after) = outcome {
                 kept = None;
                 node = to;
                 not_before = self.host.now() + after;
@@ -370,7 +377,7 @@
     }
 
     /// Sends copies of a heartbeat that arrive late, while a fault demands it.
-    fn copy(&self, body: &[u8]) {
+    fn send_late_copies(&self, body: &[u8]) {
         let copies = |t: &Trouble| match t {
             Trouble::LateReports(t) => Some(t.clone()),
             _ => None,
@@ -381,14 +388,14 @@
             }
             let (world, host, body) = (self.world.clone(), self.host.clone(), body.to_vec());
             self.host.spawn(async move {
-                let Some(node) = held_back(&world, &host, &trouble).await else {
+                let Some(node) = wait_for_late_copy(&world, &host, &trouble).await else {
                     return;
                 };
                 let to = world.addresses.nodes[node].0;
                 if let Ok(mut stream) = host.connect(to).await {
                     let path = "/agent/beat";
                     let work = exchange(&mut stream, to, "POST", path, Some(&body));
-                    let _ = host.timeout(ANSWER_WAIT_S, work).await;
+                    let _ = host.timeout(RESPONSE_TIMEOUT_S, work).await;
                 }
             });
         }
@@ -408,60 +415,70 @@
                 stream.map_err(|e| NetError::not_executed("POST /agent/beat", cause(e)))?
             }
         };
-        let answer = exchange(&mut stream, to, "POST", "/agent/beat", Some(body)).await?;
-        if !answer.close {
+        let response = exchange(&mut stream, to, "POST", "/agent/beat", Some(body)).await?;
+        if !response.close {
             *kept = Some(stream);
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    fn answered(&self, answer: &ClientResponse, node: usize, session: u64, sent: f64) -> Next {
+    fn handle_response(
+        &self,
+        response: &ClientResponse,
+        node: usize,
+        incarnation: u64,
+        sent: f64,
+    ) -> NextController {
         let nodes = self.world.addresses.nodes.len();
         let next = (node + 1) % nodes;
-        match answer.status {
+        match response.status {
             200 => {
-                if let Ok(told) = decode::<HeartbeatResponse>(&answer.body) {
+                if let Ok(decoded) = decode::<HeartbeatResponse>(&response.body) {
                     let world = self.world.clone();
-                    let mut sheet = |task: &str| world.sheet(task);
-                    self.with(|m, now| m.answered(&told, session, sent, now, &mut sheet));
+                    let mut spec = |task: &str| world.task_spec(task);
+                    self.update_machine(|m, now| {
+                        m.handle_response(&decoded, incarnation, sent, now, &mut spec)
+                    });
                 }
                 // The worker stays with this controller even if it dropped the response.
-                Next::Stay
+                NextController::Stay
             }
             421 => {
-                let foreman = decode::<Redirect>(&answer.body)
+                let owner = decode::<Redirect>(&response.body)
                     .ok()
                     .and_then(|r| r.controller)
                     .and_then(|label| (0..nodes).find(|n| self.world.node_name(*n) == label));
-                match foreman.filter(|f| *f != node) {
-                    Some(to) => Next::Go(to, self.host.random_between(0.0, REDIRECT_S)),
-                    None => Next::Go(next, NEXT_NODE_S),
+                match owner.filter(|owner| *owner != node) {
+                    Some(to) => {
+                        NextController::Switch(to, self.host.random_between(0.0, REDIRECT_S))
+                    }
+                    None => NextController::Switch(next, NEXT_CONTROLLER_S),
                 }
             }
-            _ => Next::Go(next, NEXT_NODE_S),
+            _ => NextController::Switch(next, NEXT_CONTROLLER_S),
         }
     }
 }
 
 /// Waits for as long as a heartbeat's copy is delayed, and returns the controller that
 /// receives it.
-async fn held_back(world: &World, host: &Runtime, trouble: &LateReports) -> Option<usize> {
+async fn wait_for_late_copy(world: &World, host: &Runtime, trouble: &LateReports) -> Option<usize> {
     if trouble.for_next {
         return world.next_leader().await;
     }
     let nodes = world.addresses.nodes.len() as u64;
     let node = (host.random() % nodes) as usize;
-    let most_s = LATE_REPORT_LEASES * world.scenario.deployment.workers.lease_s;
+    let most_s = LATE_HEARTBEAT_LEASES * world.scenario.deployment.workers.lease_s;
     let late_s = match trouble.late_s {
         Some(late_s) => host.random_between(0.0, late_s),
-        None => host.random_between(LATE_REPORT_S, most_s),
+        None => host.random_between(LATE_HEARTBEAT_S, most_s),
     };
     host.sleep(late_s).await;
     Some(node)
 }
 
 /// Records that a machine has booted and its worker has started.
-pub(crate) fn up(world: &World, machine: &str) {
+pub(crate) fn record_up(world: &World, machine: &str) {
     let machine = machine.to_string();
     world.record(What::Up { machine });
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -2,10 +2,10 @@
 //! jobs that users uploaded, task progress kept outside machines, active faults, and the
 //! history.
 
-use crate::fabric::{Delays, Fabric, Role, lock};
-use crate::machine::{Note, Sheet};
-use crate::proc::{Clocks, Medium, Proc};
-use cherrywood_checker::history::{Facts, Job, Off};
+use crate::fabric::{Delays, Network, Role, lock};
+use crate::machine::{MachineEvent, TaskSpec};
+use crate::proc::{Clocks, Proc, Transport};
+use cherrywood_checker::history::{Facts, Job};
 use cherrywood_checker::{Checker, History, What};
 use cherrywood_scenario::{Scenario, Trouble};
 use rand::{Rng, SeedableRng};
@@ -65,28 +65,28 @@
 
 /// A job as uploaded by its user, with the true run times of its tasks.
 #[derive(Debug, Clone)]
-pub struct Upload {
-    pub sheet: Sheet,
+pub struct UploadedJob {
+    pub spec: TaskSpec,
     /// True run time of each task, s; empty for jobs that run until stopped.
-    pub runs: Vec<f64>,
+    pub run_times_s: Vec<f64>,
 }
 
 #[derive(Debug)]
 struct Core {
     history: History,
     checker: Checker,
-    uploads: BTreeMap<String, Upload>,
+    uploads: BTreeMap<String, UploadedJob>,
     /// Progress of each task that is kept outside machines, s, and whether the task is
     /// finished.
     progress: BTreeMap<String, (f64, bool)>,
     /// Number of permanently finished tasks, by job.
     finished: BTreeMap<String, u32>,
-    /// Jobs whose last task has finished and that `next_finished` has not returned yet.
+    /// Jobs whose last task has finished and that `next_finished_jobs` has not returned yet.
     finished_jobs: Vec<String>,
-    active: Vec<(u64, Trouble)>,
-    next_trouble: u64,
+    active_faults: Vec<(u64, Trouble)>,
+    next_fault_id: u64,
     /// Number of jobs whose users still wait for an outcome.
-    open: u64,
+    open_jobs: u64,
     /// Reason for ending the scenario before everything is settled.
     stopped: Option<String>,
 }
@@ -102,8 +102,8 @@
 pub struct World {
     pub scenario: Scenario,
     pub seed: u64,
-    pub medium: Medium,
-    pub fabric: Arc<Fabric>,
+    pub transport: Transport,
+    pub network: Arc<Network>,
     pub addresses: Addresses,
     pub start: Instant,
     core: Mutex<Core>,
@@ -123,11 +123,14 @@
             jitter: n.jitter,
             loss: n.loss,
         };
-        let fabric = Fabric::new(stream_seed(seed, "network"), delays);
+        let network = Network::new(stream_seed(seed, "network"), delays);
         let count = scenario.deployment.controllers;
-        let (medium, addresses) = match port {
-            None => (Medium::Fabric(fabric.clone()), Addresses::emulated(count)),
-            Some(port) => (Medium::Loopback, Addresses::loopback(count, port)),
+        let (transport, addresses) = match port {
+            None => (
+                Transport::Simulated(network.clone()),
+                Addresses::emulated(count),
+            ),
+            Some(port) => (Transport::Loopback, Addresses::loopback(count, port)),
         };
         let mut history = History::default();
         let mut checker = Checker::new();
@@ -146,8 +149,8 @@
         checker.feed(history.record(0, begins));
         Arc::new(World {
             seed,
-            medium,
-            fabric,
+            transport,
+            network,
             addresses,
             start: Instant::now(),
             core: Mutex::new(Core {
@@ -157,9 +160,9 @@
                 progress: BTreeMap::new(),
                 finished: BTreeMap::new(),
                 finished_jobs: Vec::new(),
-                active: Vec::new(),
-                next_trouble: 0,
-                open: 0,
+                active_faults: Vec::new(),
+                next_fault_id: 0,
+                open_jobs: 0,
                 stopped: None,
             }),
             leadership: Mutex::new(None),
@@ -185,25 +188,25 @@
 
     /// Creates a process on a host in a zone, or in the region outside all zones (`None`).
     pub fn proc(&self, name: &str, ip: IpAddr, role: Role, zone: Option<&str>) -> Arc<Proc> {
-        if matches!(self.medium, Medium::Fabric(_)) {
-            self.fabric.join(ip, role, zone);
+        if matches!(self.transport, Transport::Simulated(_)) {
+            self.network.add_host(ip, role, zone);
         }
         let mut rng = self.rng(&format!("{name} at {}", self.now_ms()));
         let n = &self.scenario.deployment.node;
         // On loopback all processes share the machine's clock.
-        let clocks = match self.medium {
-            Medium::Fabric(_) => Clocks {
+        let clocks = match self.transport {
+            Transport::Simulated(_) => Clocks {
                 drift: rng.random::<f64>() * n.drift,
                 offset_s: (rng.random::<f64>() * 1000.0).floor(),
-                wall_off_ms: (rng.random::<f64>() * 2.0 - 1.0) * n.clock_off_ms,
+                wall_offset_ms: (rng.random::<f64>() * 2.0 - 1.0) * n.clock_off_ms,
             },
-            Medium::Loopback => Clocks::default(),
+            Transport::Loopback => Clocks::default(),
         };
         let seed = rng.random();
-        Proc::new(name, ip, self.medium.clone(), clocks, self.start, seed)
+        Proc::new(name, ip, self.transport.clone(), clocks, self.start, seed)
     }
 
-    pub fn region(&self, name: &str, role: Role) -> Arc<Proc> {
+    pub fn region_process(&self, name: &str, role: Role) -> Arc<Proc> {
         let ip = match role {
             Role::State => STATE,
             Role::Cloud => CLOUD,
@@ -238,7 +241,7 @@
     }
 
     /// Returns the number of rule violations so far.
-    pub fn broken(&self) -> usize {
+    pub fn violations(&self) -> usize {
         lock(&self.core).checker.breaches.len()
     }
 
@@ -250,12 +253,12 @@
 
     // --- faults ---
 
-    pub fn begin(&self, trouble: &Trouble) -> u64 {
+    pub fn begin_fault(&self, trouble: &Trouble) -> u64 {
         let id = {
             let mut core = lock(&self.core);
-            let id = core.next_trouble;
-            core.next_trouble += 1;
-            core.active.push((id, trouble.clone()));
+            let id = core.next_fault_id;
+            core.next_fault_id += 1;
+            core.active_faults.push((id, trouble.clone()));
             id
         };
         let trouble = trouble.name().to_string();
@@ -263,11 +266,11 @@
         id
     }
 
-    pub fn end(&self, id: u64) {
+    pub fn end_fault(&self, id: u64) {
         let ended = {
             let mut core = lock(&self.core);
-            let at = core.active.iter().position(|(n, _)| *n == id);
-            at.map(|at| core.active.remove(at).1)
+            let at = core.active_faults.iter().position(|(n, _)| *n == id);
+            at.map(|at| core.active_faults.remove(at).1)
         };
         if let Some(trouble) = ended {
             let trouble = trouble.name().to_string();
@@ -278,70 +281,73 @@
     /// Returns the values that `of` selects from the active faults.
     pub fn now_in<T>(&self, of: impl Fn(&Trouble) -> Option<T>) -> Vec<T> {
         let core = lock(&self.core);
-        core.active.iter().filter_map(|(_, t)| of(t)).collect()
+        core.active_faults
+            .iter()
+            .filter_map(|(_, t)| of(t))
+            .collect()
     }
 
     // --- jobs ---
 
     /// Stores a job's definition, which its user uploads before submitting, and records the
     /// submission.
-    pub fn upload(&self, upload: Upload, job: Job) {
+    pub fn upload(&self, upload: UploadedJob, job: Job) {
         lock(&self.core).uploads.insert(job.id.clone(), upload);
         self.submitted(job);
     }
 
     /// Records that a user is about to submit a job.
     pub fn submitted(&self, job: Job) {
-        lock(&self.core).open += 1;
+        lock(&self.core).open_jobs += 1;
         self.record(What::Submitted { job });
     }
 
     /// Counts a job as closed: its user no longer waits for an outcome.
-    pub fn close(&self) {
+    pub fn close_job(&self) {
         let mut core = lock(&self.core);
-        core.open = core.open.saturating_sub(1);
+        core.open_jobs = core.open_jobs.saturating_sub(1);
     }
 
     pub fn open_jobs(&self) -> u64 {
-        lock(&self.core).open
+        lock(&self.core).open_jobs
     }
 
-    pub fn sheet(&self, task: &str) -> Option<Sheet> {
+    pub fn task_spec(&self, task: &str) -> Option<TaskSpec> {
         let (job, n) = task.split_once('/')?;
         let n: u32 = n.parse().ok()?;
         let core = lock(&self.core);
-        let upload = core.uploads.get(job).filter(|u| n < u.sheet.tasks)?;
-        let mut sheet = upload.sheet.clone();
-        sheet.run_s = upload.runs.get(n as usize).copied();
+        let upload = core.uploads.get(job).filter(|u| n < u.spec.tasks)?;
+        let mut spec = upload.spec.clone();
+        spec.run_s = upload.run_times_s.get(n as usize).copied();
         if let Some((saved_s, finished)) = core.progress.get(task) {
-            (sheet.saved_s, sheet.finished) = (*saved_s, *finished);
+            (spec.saved_s, spec.finished) = (*saved_s, *finished);
         }
-        Some(sheet)
+        Some(spec)
     }
 
     /// Records events of a machine in the history; saved progress is stored instead.
-    pub fn note(&self, machine: &str, notes: Vec<Note>) {
-        for note in notes {
+    pub fn record_machine_events(&self, machine: &str, events: Vec<MachineEvent>) {
+        for event in events {
             let machine = machine.to_string();
-            let what = match note {
-                Note::Starts { task, attempt } => What::Starts {
+            let what = match event {
+                MachineEvent::Starts { task, attempt } => What::Starts {
                     machine,
                     task,
                     attempt,
                 },
-                Note::On { task, attempt } => What::On {
+                MachineEvent::On { task, attempt } => What::On {
                     machine,
                     task,
                     attempt,
                 },
-                Note::Stops { task } => What::Stops { machine, task },
-                Note::Dropped { task, attempt } => What::Dropped {
+                MachineEvent::Stops { task } => What::Stops { machine, task },
+                MachineEvent::Dropped { task, attempt } => What::Dropped {
                     machine,
                     task,
                     attempt,
                 },
-                Note::Notice => What::Notice { machine },
-                Note::Off {
+                MachineEvent::Notice => What::Notice { machine },
+                MachineEvent::Off {
                     task,
                     attempt,
                     why,
@@ -353,13 +359,13 @@
                     why,
                     kept_s,
                 },
-                Note::LeaseEnds => What::LeaseEnds { machine },
-                Note::Saved {
+                MachineEvent::LeaseEnds => What::LeaseEnds { machine },
+                MachineEvent::Saved {
                     task,
                     progress_s,
                     finished,
                 } => {
-                    self.keep(&task, progress_s, finished);
+                    self.save_progress(&task, progress_s, finished);
                     continue;
                 }
             };
@@ -368,7 +374,7 @@
     }
 
     /// Stores a task's progress outside its machine.
-    fn keep(&self, task: &str, progress_s: f64, finished: bool) {
+    fn save_progress(&self, task: &str, progress_s: f64, finished: bool) {
         let mut core = lock(&self.core);
         let kept = core.progress.entry(task.to_string()).or_default();
         let newly = finished && !kept.1;
@@ -379,7 +385,7 @@
         let done = core.finished.entry(job.to_string()).or_default();
         *done += 1;
         let done = *done;
-        let all = core.uploads.get(job).map(|u| u.sheet.tasks);
+        let all = core.uploads.get(job).map(|u| u.spec.tasks);
         if all == Some(done) {
             core.finished_jobs.push(job.to_string());
             self.job_finished.notify_one();
@@ -387,7 +393,7 @@
     }
 
     /// Waits until the last task of at least one job has finished, and returns these jobs.
-    pub async fn next_finished(&self) -> Vec<String> {
+    pub async fn next_finished_jobs(&self) -> Vec<String> {
         loop {
             let jobs = std::mem::take(&mut lock(&self.core).finished_jobs);
             if !jobs.is_empty() {
@@ -436,6 +442,3 @@
 fn stream_seed(seed: u64, concern: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(concern.as_bytes(), seed)
 }
-
-/// Reason recorded for the end of a task whose machine is gone.
-pub(crate) const GONE: Off = Off::Gone;
--- a/crates/emulator/tests/troubles.rs
+++ b/crates/emulator/tests/faults.rs
@@ -22,7 +22,7 @@
 
 /// A received heartbeat, its time and its controller.
 #[derive(Debug, Clone)]
-struct Came {
+struct Received {
     at_s: f64,
     node: usize,
     report: Heartbeat,
@@ -31,17 +31,17 @@
 /// State shared by all test controllers: they accept every complete submission that fits,
 /// start its tasks on any machine that sends heartbeats, and believe every heartbeat.
 #[derive(Debug, Default)]
-struct Memory {
+struct ControllerState {
     jobs: BTreeMap<String, (Submission, JobState)>,
     done: BTreeMap<String, u32>,
     /// Jobs whose tasks were placed on a machine.
-    given: BTreeSet<String>,
-    came: Vec<Came>,
+    placed: BTreeSet<String>,
+    received: Vec<Received>,
     /// Whether responses to heartbeats start tasks.
-    starts: bool,
+    places_tasks: bool,
 }
 
-impl Memory {
+impl ControllerState {
     fn submitted(&mut self, body: &[u8]) -> Response {
         let Ok(job) = Submission::decode(body) else {
             return Response::empty(400);
@@ -76,9 +76,9 @@
         Response::new(status, encode(&body))
     }
 
-    fn reported(&mut self, came: Came) -> HeartbeatResponse {
+    fn reported(&mut self, received: Received) -> HeartbeatResponse {
         let mut commands = Vec::new();
-        for t in came
+        for t in received
             .report
             .tasks
             .iter()
@@ -96,12 +96,12 @@
             }
             commands.push(Command::Forget { task, attempt });
         }
-        let started = came.report.tasks.len();
-        self.came.push(came);
+        let started = received.report.tasks.len();
+        self.received.push(received);
         for (id, (job, state)) in &self.jobs {
-            let fresh = *state == JobState::Running && !self.given.contains(id);
-            if self.starts && fresh && started == 0 && commands.len() < 4 {
-                self.given.insert(id.clone());
+            let fresh = *state == JobState::Running && !self.placed.contains(id);
+            if self.places_tasks && fresh && started == 0 && commands.len() < 4 {
+                self.placed.insert(id.clone());
                 let task = |n: u32| format!("{id}/{n}");
                 let start = |n| Command::Start {
                     task: task(n),
@@ -117,18 +117,18 @@
     }
 }
 
-struct Stage {
+struct Setup {
     world: Arc<World>,
     state: Arc<StateHost>,
     cloud: Arc<Cloud>,
-    memory: Arc<Mutex<Memory>>,
+    controllers: Arc<Mutex<ControllerState>>,
     nodes: Vec<Arc<Proc>>,
 }
 
 /// Ignores faults of controllers.
-struct Unhurt;
+struct NoNodeFaults;
 
-impl Nodes for Unhurt {
+impl Nodes for NoNodeFaults {
     fn start(&self, _: usize) {}
     fn kill(&self, _: usize) {}
     fn freeze(&self, _: usize) {}
@@ -136,51 +136,56 @@
     fn slow(&self, _: usize, _: f64) {}
 }
 
-fn answer(memory: &Mutex<Memory>, node: usize, at_s: f64, request: &Request) -> Response {
-    let mut memory = memory.lock().unwrap();
+fn answer(
+    controllers: &Mutex<ControllerState>,
+    node: usize,
+    at_s: f64,
+    request: &Request,
+) -> Response {
+    let mut controllers = controllers.lock().unwrap();
     let job = request
         .path
         .strip_prefix("/submissions/")
         .unwrap_or_default();
     match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/healthz") => Response::empty(200),
-        ("POST", "/submissions") => memory.submitted(&request.body),
+        ("POST", "/submissions") => controllers.submitted(&request.body),
         ("POST", "/agent/beat") => {
             let report = decode::<Heartbeat>(&request.body).unwrap();
-            let told = memory.reported(Came { at_s, node, report });
+            let told = controllers.reported(Received { at_s, node, report });
             Response::new(200, encode(&told))
         }
-        ("GET", _) => memory.status(200, job),
+        ("GET", _) => controllers.status(200, job),
         _ => {
             let job = job.trim_end_matches("/cancel");
-            if let Some((_, state)) = memory.jobs.get_mut(job)
+            if let Some((_, state)) = controllers.jobs.get_mut(job)
                 && *state == JobState::Running
             {
                 *state = JobState::Cancelled;
             }
-            memory.status(200, job)
+            controllers.status(200, job)
         }
     }
 }
 
-impl Stage {
-    async fn set(text: &str) -> Stage {
+impl Setup {
+    async fn start(text: &str) -> Setup {
         let scenario = Scenario::parse("test.yaml", text).unwrap();
         let world = World::new(scenario, 1, None);
         let state = StateHost::start(&world).await.unwrap();
         let cloud = Cloud::start(&world).await.unwrap();
-        let memory = Arc::new(Mutex::new(Memory {
-            starts: true,
-            ..Memory::default()
+        let controllers = Arc::new(Mutex::new(ControllerState {
+            places_tasks: true,
+            ..ControllerState::default()
         }));
         let mut nodes = Vec::new();
         for (node, (at, _)) in world.addresses.nodes.iter().enumerate() {
             let name = world.node_name(node);
             let proc = world.proc(&name, at.ip(), Role::Node, Some("north"));
             let listener = proc.host().bind(*at).await.unwrap();
-            let (memory, clock) = (memory.clone(), world.clone());
+            let (controllers, clock) = (controllers.clone(), world.clone());
             let on_request = Arc::new(move |request: Request, _: SocketAddr| {
-                let told = answer(&memory, node, clock.now_s(), &request);
+                let told = answer(&controllers, node, clock.now_s(), &request);
                 async move { told }
             });
             let host = proc.host();
@@ -189,20 +194,20 @@
             nodes.push(proc);
         }
         let users = Users::start(&world);
-        Troubles::new(&world, &state, &cloud, &users, Arc::new(Unhurt)).start();
-        Stage {
+        Troubles::new(&world, &state, &cloud, &users, Arc::new(NoNodeFaults)).start();
+        Setup {
             world,
             state,
             cloud,
-            memory,
+            controllers,
             nodes,
         }
     }
 
     fn reports(&self, from_s: f64, to_s: f64) -> usize {
-        let memory = self.memory.lock().unwrap();
-        let in_time = |c: &&Came| (from_s..to_s).contains(&c.at_s);
-        memory.came.iter().filter(in_time).count()
+        let controllers = self.controllers.lock().unwrap();
+        let in_time = |c: &&Received| (from_s..to_s).contains(&c.at_s);
+        controllers.received.iter().filter(in_time).count()
     }
 
     fn events<T>(&self, of: impl Fn(u64, &What) -> Option<T>) -> Vec<T> {
@@ -212,7 +217,7 @@
         self.world.look(|history, _| all(&history.events))
     }
 
-    /// Sends a request from the first controller; `None` if no response came within
+    /// Sends a request from the first controller; `None` if no response arrived within
     /// `wait_s`.
     async fn ask(&self, to: SocketAddr, path: &str, body: &[u8], wait_s: f64) -> Option<u16> {
         let host = self.nodes[0].host();
@@ -245,17 +250,17 @@
 }
 
 /// Runs a test in virtual time.
-fn play<F: Future<Output = ()>>(text: &str, test: impl FnOnce(Stage) -> F) {
+fn run_virtual<F: Future<Output = ()>>(text: &str, test: impl FnOnce(Setup) -> F) {
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .unwrap();
-    rt.block_on(async { test(Stage::set(text).await).await });
+    rt.block_on(async { test(Setup::start(text).await).await });
 }
 
-async fn until(s: f64, stage: &Stage) {
-    let left = s - stage.world.now_s();
+async fn until(s: f64, setup: &Setup) {
+    let left = s - setup.world.now_s();
     sleep(Duration::from_secs_f64(left.max(0.0))).await;
 }
 
@@ -281,20 +286,20 @@
 #[test]
 fn jobs_with_long_to_go_are_cancelled_at_once_and_their_machines_hang() {
     let text = scenario(200, "  - cancel_now: {at_s: 40, count: 3, hang_s: 20}\n");
-    play(&text, |stage| async move {
-        until(59.0, &stage).await;
-        let wanted = stage.events(|at_ms, what| match what {
+    run_virtual(&text, |setup| async move {
+        until(59.0, &setup).await;
+        let wanted = setup.events(|at_ms, what| match what {
             What::Unwanted { job } => Some((at_ms, job.clone())),
             _ => None,
         });
         assert_eq!(wanted.len(), 3, "{wanted:?}");
         assert!(wanted.iter().all(|(at, _)| (40_000..=40_201).contains(at)));
-        let memory = stage.memory.lock().unwrap();
+        let controllers = setup.controllers.lock().unwrap();
         for (_, job) in &wanted {
-            assert_eq!(memory.jobs[job].1, JobState::Cancelled);
-            let on = |c: &&Came| c.report.tasks.iter().any(|t| t.task == format!("{job}/0"));
-            let late = memory.came.iter().filter(on).map(|c| c.at_s);
-            assert!(late.fold(0.0, f64::max) < 41.0, "its machine stands still");
+            assert_eq!(controllers.jobs[job].1, JobState::Cancelled);
+            let on = |c: &&Received| c.report.tasks.iter().any(|t| t.task == format!("{job}/0"));
+            let late = controllers.received.iter().filter(on).map(|c| c.at_s);
+            assert!(late.fold(0.0, f64::max) < 41.0, "its machine is suspended");
         }
     });
 }
@@ -302,9 +307,9 @@
 #[test]
 fn jobs_are_cancelled_at_the_moment_at_which_their_last_task_ends() {
     let text = scenario(10, "  - cancel_at_end: {at_s: 50, for_s: 50, share: 1}\n");
-    play(&text, |stage| async move {
-        until(110.0, &stage).await;
-        let ends = stage.events(|at_ms, what| match what {
+    run_virtual(&text, |setup| async move {
+        until(110.0, &setup).await;
+        let ends = setup.events(|at_ms, what| match what {
             What::Off {
                 task,
                 why: Off::Done,
@@ -313,7 +318,7 @@
             _ => None,
         });
         let ends: BTreeMap<String, u64> = ends.into_iter().collect();
-        let wanted = stage.events(|at_ms, what| match what {
+        let wanted = setup.events(|at_ms, what| match what {
             What::Unwanted { job } => Some((at_ms, job.clone())),
             _ => None,
         });
@@ -326,89 +331,92 @@
             );
         }
         let early = ends.values().filter(|at| **at < 50_000).count();
-        assert!(early > 0, "some ended before, uncancelled");
+        assert!(early > 0, "some jobs ended before the fault, uncancelled");
     });
 }
 
 #[test]
-fn a_mute_machine_reaches_no_controller_and_is_reached_by_commands() {
+fn a_mute_machine_sends_no_heartbeats_and_receives_direct_commands() {
     let text = scenario(
         200,
         "  - machine_mute: {at_s: 40, for_s: 20, zone: north}\n",
     );
-    play(&text, |stage| async move {
-        until(50.0, &stage).await;
-        assert!(stage.reports(30.0, 40.0) > 8);
-        let (_, worker) = stage.cloud.draw(1, None, |_| true).remove(0);
+    run_virtual(&text, |setup| async move {
+        until(50.0, &setup).await;
+        assert!(setup.reports(30.0, 40.0) > 8);
+        let (_, worker) = setup.cloud.draw_machines(1, None, |_| true).remove(0);
         let to = SocketAddr::new(worker.proc.ip, 9000);
-        let (session, commands) = (1, Vec::new());
-        let orders = encode(&DirectCommands {
+        let (incarnation, commands) = (1, Vec::new());
+        let direct = encode(&DirectCommands {
             fencing_token: 9,
-            incarnation: session,
+            incarnation,
             commands,
         });
         // The lease expired at 50 s, so the command may carry the previous incarnation.
-        let told = stage.ask(to, "/orders", &orders, 2.0).await;
+        let told = setup.ask(to, "/orders", &direct, 2.0).await;
         assert!(matches!(told, Some(200 | 409)), "{told:?}");
-        until(90.0, &stage).await;
-        assert_eq!(stage.reports(40.1, 60.0), 0);
-        assert!(stage.reports(66.0, 90.0) > 8);
+        until(90.0, &setup).await;
+        assert_eq!(setup.reports(40.1, 60.0), 0);
+        assert!(setup.reports(66.0, 90.0) > 8);
     });
 }
 
 #[test]
-fn only_the_answer_of_a_late_write_at_once_is_lost() {
+fn a_late_write_at_once_loses_only_its_response() {
     let text = scenario(
         9,
         "  - late_writes: {at_s: 10, for_s: 20, share: 1, at_once: true}\n",
     );
-    play(&text, |stage| async move {
-        until(12.0, &stage).await;
+    run_virtual(&text, |setup| async move {
+        until(12.0, &setup).await;
         let value = encode(&LeaderRecord {
             leader: "node-2".into(),
             term: 3,
             nonce: 1,
         });
-        let told = stage.write("L/leader", value, 2.0).await;
-        assert_eq!(told, None, "no answer");
-        assert_eq!(stage.state.leader().as_deref(), Some("node-2"));
-        until(31.0, &stage).await;
-        stage.lead(1).await;
-        assert_eq!(stage.state.leader().as_deref(), Some("node-1"));
+        let told = setup.write("L/leader", value, 2.0).await;
+        assert_eq!(told, None, "no response");
+        assert_eq!(setup.state.leader().as_deref(), Some("node-2"));
+        until(31.0, &setup).await;
+        setup.lead(1).await;
+        assert_eq!(setup.state.leader().as_deref(), Some("node-1"));
     });
 }
 
 #[test]
-fn copies_of_reports_come_late_or_when_another_controller_leads() {
+fn copies_of_heartbeats_arrive_late_or_when_another_controller_leads() {
     let trouble = "  - late_reports: {at_s: 20, for_s: 10, share: 1, for_next: true}\n";
-    play(&scenario(200, trouble), |stage| async move {
-        stage.lead(0).await;
-        until(60.0, &stage).await;
-        let copies = |stage: &Stage| {
-            let memory = stage.memory.lock().unwrap();
+    run_virtual(&scenario(200, trouble), |setup| async move {
+        setup.lead(0).await;
+        until(60.0, &setup).await;
+        let copies = |setup: &Setup| {
+            let controllers = setup.controllers.lock().unwrap();
             let mut seen = BTreeSet::new();
-            let again = |c: &&Came| !seen.insert((c.report.machine.clone(), c.report.sequence));
-            memory
-                .came
+            let again = |c: &&Received| !seen.insert((c.report.machine.clone(), c.report.sequence));
+            controllers
+                .received
                 .iter()
                 .filter(again)
                 .cloned()
-                .collect::<Vec<Came>>()
+                .collect::<Vec<Received>>()
         };
-        assert!(copies(&stage).is_empty(), "they wait for the next leader");
-        stage.lead(2).await;
+        assert!(
+            copies(&setup).is_empty(),
+            "the copies wait for the next leader"
+        );
+        setup.lead(2).await;
         sleep(Duration::from_secs(1)).await;
-        let came = copies(&stage);
-        assert!(came.len() >= 8, "{}", came.len());
-        assert!(came.iter().all(|c| c.node == 2 && c.at_s >= 60.0));
+        let received = copies(&setup);
+        assert!(received.len() >= 8, "{}", received.len());
+        assert!(received.iter().all(|c| c.node == 2 && c.at_s >= 60.0));
     });
     let trouble = "  - late_reports: {at_s: 20, for_s: 20, share: 1}\n";
-    play(&scenario(200, trouble), |stage| async move {
-        until(110.0, &stage).await;
-        let memory = stage.memory.lock().unwrap();
+    run_virtual(&scenario(200, trouble), |setup| async move {
+        until(110.0, &setup).await;
+        let controllers = setup.controllers.lock().unwrap();
         let mut first: BTreeMap<(String, u64), f64> = BTreeMap::new();
         let mut late = Vec::new();
-        for c in &memory.came {
+        for c in &controllers.received {
             let key = (c.report.machine.clone(), c.report.sequence);
             match first.get(&key) {
                 Some(at_s) => late.push(c.at_s - at_s),
@@ -419,19 +427,22 @@
             late.len() >= 20 && late.iter().all(|s| *s > 1.9),
             "{late:?}"
         );
-        assert!(late.iter().any(|s| *s > 12.0), "over a lease: {late:?}");
+        assert!(
+            late.iter().any(|s| *s > 12.0),
+            "some later than a lease: {late:?}"
+        );
     });
 }
 
 #[test]
-fn a_late_command_gets_no_answer_and_is_carried_out_seconds_later() {
+fn a_late_command_gets_no_response_and_is_executed_seconds_later() {
     let text = scenario(200, "  - late_commands: {at_s: 20, for_s: 20, share: 1}\n");
-    play(&text, |stage| async move {
-        stage.memory.lock().unwrap().starts = false;
-        until(22.0, &stage).await;
-        let (_, worker) = stage.cloud.draw(1, None, |_| true).remove(0);
-        let job = stage
-            .memory
+    run_virtual(&text, |setup| async move {
+        setup.controllers.lock().unwrap().places_tasks = false;
+        until(22.0, &setup).await;
+        let (_, worker) = setup.cloud.draw_machines(1, None, |_| true).remove(0);
+        let job = setup
+            .controllers
             .lock()
             .unwrap()
             .jobs
@@ -441,26 +452,26 @@
             .clone();
         let task = format!("{job}/0");
         let commands = vec![Command::Start { task, attempt: 1 }];
-        let orders = encode(&DirectCommands {
+        let direct = encode(&DirectCommands {
             fencing_token: 1,
             incarnation: 1,
             commands,
         });
         let to = SocketAddr::new(worker.proc.ip, 9000);
-        assert_eq!(stage.ask(to, "/orders", &orders, 1.9).await, None);
-        assert_eq!(worker.load(), (0, 0), "not yet");
-        until(39.0, &stage).await;
-        let (running, fetching) = worker.load();
+        assert_eq!(setup.ask(to, "/orders", &direct, 1.9).await, None);
+        assert_eq!(worker.task_counts(), (0, 0), "not executed yet");
+        until(39.0, &setup).await;
+        let (running, fetching) = worker.task_counts();
         assert_eq!(running + fetching, 1);
     });
 }
 
 #[test]
-fn odd_requests_repeat_cancel_what_is_done_and_send_what_must_be_refused() {
+fn odd_requests_repeat_submissions_cancel_done_jobs_and_send_invalid_ones() {
     let text = scenario(5, "  - odd_requests: {at_s: 20, for_s: 60}\n");
-    play(&text, |stage| async move {
-        until(100.0, &stage).await;
-        let told = stage.events(|_, what| match what {
+    run_virtual(&text, |setup| async move {
+        until(100.0, &setup).await;
+        let told = setup.events(|_, what| match what {
             What::Told {
                 ask, job, status, ..
             } => Some((*ask, job.clone(), *status)),
@@ -472,7 +483,7 @@
         let refused = count(&|(_, _, status)| *status == 422);
         let cancels = count(&|(ask, _, status)| *ask == Ask::Cancel && *status == 200);
         assert!(repeats > 5 && refused > 5 && cancels > 5, "{told:?}");
-        let lacking = stage.events(|_, what| match what {
+        let lacking = setup.events(|_, what| match what {
             What::LacksField { job, .. } => Some(job.clone()),
             _ => None,
         });
@@ -480,17 +491,20 @@
         for job in &lacking {
             assert_eq!(count(&|(_, id, status)| id == job && *status == 400), 1);
         }
-        let unwanted = stage.events(|_, what| matches!(what, What::Unwanted { .. }).then_some(()));
-        assert!(unwanted.is_empty(), "a job that is done stays so");
+        let unwanted = setup.events(|_, what| matches!(what, What::Unwanted { .. }).then_some(()));
+        assert!(
+            unwanted.is_empty(),
+            "no user cancelled a job; done jobs stay done"
+        );
     });
 }
 
 #[test]
-fn users_look_at_all_nodes_within_milliseconds_of_an_answer_or_an_end() {
+fn close_looks_query_all_controllers_within_milliseconds_of_acceptance_or_end() {
     let text = scenario(5, "  - close_looks: {at_s: 20, for_s: 60}\n");
-    play(&text, |stage| async move {
-        until(100.0, &stage).await;
-        let told = stage.events(|at_ms, what| match what {
+    run_virtual(&text, |setup| async move {
+        until(100.0, &setup).await;
+        let told = setup.events(|at_ms, what| match what {
             What::Told {
                 ask,
                 job,
@@ -514,7 +528,7 @@
         assert!(during.len() > 10 && !before.is_empty());
         assert!(during.iter().all(|t| nodes(t.0, &t.2) == 3));
         assert!(before.iter().all(|t| nodes(t.0, &t.2) == 0));
-        let ends = stage.events(|at_ms, what| match what {
+        let ends = setup.events(|at_ms, what| match what {
             What::Off {
                 task,
                 why: Off::Done,
