--- a/crates/emulator/tests/machine.rs
+++ b/crates/emulator/tests/machine.rs
@@ -1,7 +1,7 @@
 //! The worker's protocol: tasks, leases, fencing tokens, incarnations, checkpoints.
 
 use cherrywood_checker::history::Off;
-use cherrywood_emulator::machine::{Machine, Note, Sheet, Traits};
+use cherrywood_emulator::machine::{Machine, MachineEvent, TaskSpec, Traits};
 use cherrywood_scenario::deployment::MachineType;
 use cherrywood_wire::agent::{Command, DirectCommands, ExitCause, HeartbeatResponse, TaskState};
 
@@ -16,16 +16,16 @@
         speed: 1.0,
         fetch_gb_per_s: 0.5,
         fetch_shared: true,
-        slow: 1.0,
+        slowdown: 1.0,
         faulty: false,
     };
     Machine::new("vm-1", "a:1".into(), kind, "x", true, traits, 10.0, 0.0)
 }
 
-fn sheet(task: &str) -> Option<Sheet> {
+fn spec(task: &str) -> Option<TaskSpec> {
     let (job, n) = task.split_once('/')?;
     let saves = job == "wk-000002";
-    (job != "wk-000009" && n.parse::<u32>().ok()? < 8).then(|| Sheet {
+    (job != "wk-000009" && n.parse::<u32>().ok()? < 8).then(|| TaskSpec {
         job: job.into(),
         tasks: 8,
         cpus: 2.0,
@@ -59,17 +59,17 @@
 
 /// Responds to a heartbeat sent at `now`.
 fn tell(m: &mut Machine, token: u64, commands: Vec<Command>, now: f64) -> bool {
-    let answer = HeartbeatResponse {
+    let response = HeartbeatResponse {
         fencing_token: token,
         commands,
     };
-    let session = m.session;
-    m.answered(&answer, session, now, now, &mut sheet)
+    let incarnation = m.incarnation;
+    m.handle_response(&response, incarnation, now, now, &mut spec)
 }
 
 fn states(m: &mut Machine, now: f64) -> Vec<(String, TaskState, Option<ExitCause>)> {
     m.advance(now);
-    let tasks = m.report(now).tasks;
+    let tasks = m.heartbeat(now).tasks;
     tasks
         .into_iter()
         .map(|t| (t.task, t.state, t.exit_cause))
@@ -94,9 +94,9 @@
         state(&mut m, 22.0),
         (TaskState::Exited, Some(ExitCause::Done))
     );
-    let notes = m.notes();
-    let off = notes.iter().find_map(|n| match n {
-        Note::Off { why, kept_s, .. } => Some((*why, *kept_s)),
+    let events = m.take_events();
+    let off = events.iter().find_map(|n| match n {
+        MachineEvent::Off { why, kept_s, .. } => Some((*why, *kept_s)),
         _ => None,
     });
     assert_eq!(off, Some((Off::Done, 20.0)));
@@ -109,12 +109,12 @@
     assert_eq!(
         state(&mut m, 23.0).0,
         TaskState::Running,
-        "the image is there"
+        "the image is cached"
     );
 }
 
 #[test]
-fn starts_are_refused_for_the_reasons_of_the_page() {
+fn starts_are_refused_for_lack_of_room_tasks_in_use_and_unknown_tasks() {
     let mut m = machine();
     let all = (0..5)
         .map(|i| start(&format!("wk-000001/{i}"), 1))
@@ -142,36 +142,42 @@
 }
 
 #[test]
-fn lower_tokens_are_dropped_and_renew_nothing() {
+fn responses_with_lower_tokens_are_dropped_and_renew_no_lease() {
     let mut m = machine();
     tell(&mut m, 5, vec![start("wk-000001/0", 1)], 0.0);
     assert!(!tell(&mut m, 4, vec![stop("wk-000001/0", 1, 0.0)], 6.0));
     assert_eq!(state(&mut m, 9.9).0, TaskState::Running);
     assert!(states(&mut m, 10.0).is_empty(), "the lease counts from 0");
-    assert_eq!(m.session, 2);
-    let notes = m.notes();
-    assert!(notes.contains(&Note::LeaseEnds));
+    assert_eq!(m.incarnation, 2);
+    let events = m.take_events();
+    assert!(events.contains(&MachineEvent::LeaseEnds));
     // A response to a heartbeat of the previous incarnation is dropped.
     let late = HeartbeatResponse {
         fencing_token: 9,
         commands: vec![start("wk-000001/1", 3)],
     };
-    assert!(!m.answered(&late, 1, 9.0, 10.5, &mut sheet));
+    assert!(!m.handle_response(&late, 1, 9.0, 10.5, &mut spec));
     assert!(states(&mut m, 10.5).is_empty());
 }
 
 #[test]
-fn direct_orders_need_token_and_session_and_renew_no_lease() {
+fn direct_commands_need_token_and_incarnation_and_renew_no_lease() {
     let mut m = machine();
-    let order = |token, session| DirectCommands {
+    let order = |token, incarnation| DirectCommands {
         fencing_token: token,
-        incarnation: session,
+        incarnation,
         commands: vec![start("wk-000001/0", 1)],
     };
     assert!(tell(&mut m, 5, vec![], 0.0));
-    assert!(!m.ordered(&order(4, 1), 1.0, &mut sheet), "an older token");
-    assert!(!m.ordered(&order(5, 2), 1.0, &mut sheet), "another session");
-    assert!(m.ordered(&order(6, 1), 1.0, &mut sheet));
+    assert!(
+        !m.handle_direct_commands(&order(4, 1), 1.0, &mut spec),
+        "an older token"
+    );
+    assert!(
+        !m.handle_direct_commands(&order(5, 2), 1.0, &mut spec),
+        "another incarnation"
+    );
+    assert!(m.handle_direct_commands(&order(6, 1), 1.0, &mut spec));
     assert_eq!(m.token, 6);
     assert_eq!(state(&mut m, 9.0).0, TaskState::Running);
     assert!(states(&mut m, 10.0).is_empty());
@@ -189,8 +195,8 @@
         tell(&mut m, 5, vec![], 6.0);
         tell(&mut m, 5, vec![stop(task, 1, grace)], 10.0);
         assert_eq!(state(&mut m, ends).0, TaskState::Exited, "{task} {grace}");
-        let off = m.notes().into_iter().find_map(|n| match n {
-            Note::Off { kept_s, .. } => Some(kept_s),
+        let off = m.take_events().into_iter().find_map(|n| match n {
+            MachineEvent::Off { kept_s, .. } => Some(kept_s),
             _ => None,
         });
         assert_eq!(off, Some(kept), "{task} with {grace} s");
@@ -205,7 +211,7 @@
 }
 
 #[test]
-fn fetches_share_the_rate_end_with_their_tasks_and_fall_out_of_the_cache() {
+fn image_fetches_share_the_rate_end_with_their_tasks_and_unused_images_are_evicted() {
     let mut m = machine();
     tell(
         &mut m,
@@ -216,14 +222,14 @@
     assert_eq!(
         state(&mut m, 3.9).0,
         TaskState::Fetching,
-        "half the rate each"
+        "each fetch has half the rate"
     );
     assert_eq!(state(&mut m, 4.0).0, TaskState::Running);
     tell(&mut m, 5, vec![start("wk-000004/0", 1)], 5.0);
     tell(&mut m, 5, vec![stop("wk-000004/0", 1, 0.0)], 6.0);
     tell(&mut m, 5, vec![start("wk-000004/1", 1)], 7.0);
     let running = |m: &mut Machine, now| states(m, now).last().unwrap().1 == TaskState::Running;
-    assert!(!running(&mut m, 8.9), "the first fetch was given up");
+    assert!(!running(&mut m, 8.9), "the first fetch was cancelled");
     assert!(running(&mut m, 9.0));
     // The cache of 3 GB is full; the least recently used image is evicted.
     tell(
@@ -234,11 +240,11 @@
     );
     tell(&mut m, 5, vec![start("wk-000005/0", 1)], 11.0);
     tell(&mut m, 5, vec![start("wk-000003/1", 1)], 14.0);
-    assert!(running(&mut m, 14.0), "img-3 stayed");
+    assert!(running(&mut m, 14.0), "img-3 was not evicted");
 }
 
 #[test]
-fn mistakes_and_faulty_machines_fail_what_starts() {
+fn tasks_of_mistaken_jobs_and_on_faulty_machines_fail() {
     let mut m = machine();
     tell(&mut m, 5, vec![start("wk-000007/0", 1)], 0.0);
     assert_eq!(
@@ -255,13 +261,17 @@
 }
 
 #[test]
-fn a_machine_that_stood_still_goes_on_where_it_was() {
+fn a_suspended_machine_resumes_its_tasks_where_they_were() {
     let mut m = machine();
     tell(&mut m, 5, vec![start("wk-000001/0", 1)], 0.0);
     m.advance(5.0);
-    m.stood_still(9.0);
+    m.skip_suspension(9.0);
     tell(&mut m, 5, vec![], 9.0);
     tell(&mut m, 5, vec![], 18.0);
-    assert_eq!(state(&mut m, 25.9).0, TaskState::Running, "4 s are missing");
+    assert_eq!(
+        state(&mut m, 25.9).0,
+        TaskState::Running,
+        "the 4 s of suspension do not count"
+    );
     assert_eq!(state(&mut m, 26.0).0, TaskState::Exited);
 }
--- a/crates/emulator/tests/fabric.rs
+++ b/crates/emulator/tests/network.rs
@@ -1,7 +1,7 @@
 //! The simulated network: delay, order, broken paths, power loss.
 
-use cherrywood_emulator::fabric::{Break, Delays, Group, Role};
-use cherrywood_emulator::{Clocks, Fabric, Medium, Proc};
+use cherrywood_emulator::fabric::{Delays, Group, PathFault, Role};
+use cherrywood_emulator::{Clocks, Network, Proc, Transport};
 use cherrywood_net::Runtime;
 use cherrywood_net::runtime::{Listener, Stream};
 use cherrywood_scenario::Cut;
@@ -16,7 +16,7 @@
 }
 
 struct World {
-    fabric: Arc<Fabric>,
+    network: Arc<Network>,
     a: Arc<Proc>,
     b: Arc<Proc>,
 }
@@ -28,15 +28,15 @@
         jitter: 0.0,
         loss: 0.0,
     };
-    let fabric = Fabric::new(1, delays);
-    fabric.join(ip(1), Role::Node, Some("x"));
-    fabric.join(ip(2), Role::State, None);
+    let network = Network::new(1, delays);
+    network.add_host(ip(1), Role::Node, Some("x"));
+    network.add_host(ip(2), Role::State, None);
     let proc = |n: u8| {
-        let medium = Medium::Fabric(fabric.clone());
-        Proc::new("p", ip(n), medium, Clocks::default(), Instant::now(), 1)
+        let transport = Transport::Simulated(network.clone());
+        Proc::new("p", ip(n), transport, Clocks::default(), Instant::now(), 1)
     };
     let (a, b) = (proc(1), proc(2));
-    World { fabric, a, b }
+    World { network, a, b }
 }
 
 const PORT: u16 = 80;
@@ -54,7 +54,7 @@
 }
 
 /// Runs a test in virtual time.
-fn play<F: Future<Output = ()>>(test: impl FnOnce(World) -> F) {
+fn run_virtual<F: Future<Output = ()>>(test: impl FnOnce(World) -> F) {
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -72,11 +72,11 @@
 const SOON: Duration = Duration::from_millis(500);
 
 #[test]
-fn bytes_arrive_in_order_after_the_delay_and_an_end_is_seen() {
-    play(|w| async move {
+fn bytes_arrive_in_order_after_the_delay_and_a_close_is_seen() {
+    run_virtual(|w| async move {
         let start = Instant::now();
         let (mut c, mut s, _l) = pair(&w).await;
-        assert_eq!(start.elapsed().as_millis(), 10, "there and back");
+        assert_eq!(start.elapsed().as_millis(), 10, "one round trip");
         c.write_all(b"one ").await.unwrap();
         c.write_all(b"two").await.unwrap();
         let sent = Instant::now();
@@ -85,18 +85,18 @@
         drop(c);
         assert_eq!(s.read(&mut [0; 4]).await.unwrap(), 0);
         let refused = w.a.host().connect(SocketAddr::new(ip(2), 81)).await;
-        assert!(refused.is_err(), "nobody listens there");
+        assert!(refused.is_err(), "no listener on this port");
     });
 }
 
 #[test]
-fn a_path_that_holds_delivers_late_and_in_order_though_the_sender_gave_up() {
-    play(|w| async move {
+fn a_held_path_delivers_late_and_in_order_after_the_sender_gave_up() {
+    run_virtual(|w| async move {
         let (mut c, mut s, mut l) = pair(&w).await;
-        let cut = w.fabric.cut(
+        let cut = w.network.break_paths(
             Group::Role(Role::Node),
             Group::Role(Role::State),
-            Break::Cut(Cut::Hold),
+            PathFault::Cut(Cut::Hold),
         );
         c.write_all(b"late").await.unwrap();
         drop(c);
@@ -105,48 +105,53 @@
         let host = w.a.host();
         assert!(timeout(SOON, host.connect(at(2))).await.is_err());
         sleep(Duration::from_secs(20)).await;
-        w.fabric.mend(cut);
+        w.network.repair(cut);
         assert_eq!(read(&mut s, 4).await, b"late");
-        assert_eq!(s.read(&mut [0; 4]).await.unwrap(), 0, "and then its end");
+        assert_eq!(s.read(&mut [0; 4]).await.unwrap(), 0, "then the close");
         assert!(timeout(SOON, l.accept()).await.is_err());
     });
 }
 
 #[test]
-fn a_path_that_resets_or_refuses_ends_what_crosses_it() {
-    play(|w| async move {
+fn a_path_that_resets_or_refuses_ends_its_connections() {
+    run_virtual(|w| async move {
         let (mut c, _s, mut l) = pair(&w).await;
-        let refuse = w
-            .fabric
-            .cut(Group::Hosts(vec![ip(1)]), Group::Everyone, Break::Refuse);
+        let refuse = w.network.break_paths(
+            Group::Hosts(vec![ip(1)]),
+            Group::Everyone,
+            PathFault::Refuse,
+        );
         assert!(w.a.host().connect(at(2)).await.is_err());
         assert!(c.write_all(b"x").await.is_err());
-        w.fabric.mend(refuse);
+        w.network.repair(refuse);
         let mut c = w.a.host().connect(at(2)).await.unwrap();
         let (mut s, _) = l.accept().await.unwrap();
         c.write_all(b"x").await.unwrap();
         assert_eq!(read(&mut s, 1).await, b"x");
-        let cut = w.fabric.cut(
+        let cut = w.network.break_paths(
             Group::Zone("x".into()),
             Group::Outside("x".into()),
-            Break::Cut(Cut::Reset),
+            PathFault::Cut(Cut::Reset),
         );
         assert!(c.write_all(b"x").await.is_err());
         assert!(s.read(&mut [0; 1]).await.is_err());
-        let (host, fabric) = (w.a.host(), w.fabric.clone());
+        let (host, network) = (w.a.host(), w.network.clone());
         let connect = tokio::spawn(async move { host.connect(at(2)).await.is_ok() });
         sleep(Duration::from_secs(3)).await;
-        fabric.mend(cut);
-        assert!(connect.await.unwrap(), "tried again until it was whole");
+        network.repair(cut);
+        assert!(
+            connect.await.unwrap(),
+            "retried until the path was repaired"
+        );
         assert!(l.accept().await.is_ok());
     });
 }
 
 #[test]
-fn a_host_without_power_is_silent_without_an_error() {
-    play(|w| async move {
+fn a_powered_off_host_is_silent_without_an_error() {
+    run_virtual(|w| async move {
         let (mut c, _s, _l) = pair(&w).await;
-        w.fabric.cut_power(ip(2));
+        w.network.power_off(ip(2));
         c.write_all(b"anyone?").await.unwrap();
         assert!(timeout(SOON, c.read(&mut [0; 1])).await.is_err());
         assert!(timeout(SOON, w.a.host().connect(at(2))).await.is_err());
@@ -167,15 +172,15 @@
 }
 
 #[test]
-fn a_process_stands_still_goes_on_and_ends_and_clocks_drift() {
-    play(|w| async move {
+fn a_process_freezes_thaws_and_is_killed_and_its_clocks_drift() {
+    run_virtual(|w| async move {
         let fast = Clocks {
             drift: 0.0005,
             offset_s: 77.0,
-            wall_off_ms: -250.0,
+            wall_offset_ms: -250.0,
         };
-        let medium = Medium::Fabric(w.fabric.clone());
-        let p = Proc::new("p", ip(1), medium, fast, Instant::now(), 1);
+        let transport = Transport::Simulated(w.network.clone());
+        let p = Proc::new("p", ip(1), transport, fast, Instant::now(), 1);
         let host = p.host();
         let n = count(&host);
         let seen = || *n.lock().unwrap();
@@ -186,7 +191,7 @@
         assert_eq!(seen(), 4);
         p.thaw();
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(seen(), 5, "one timer was due, and no more");
+        assert_eq!(seen(), 5, "only one timer was due");
         let (now, wall) = (host.now(), host.wall_ms());
         sleep(Duration::from_secs(1000)).await;
         assert!((host.now() - now - 1000.5).abs() < 1e-3);
@@ -199,8 +204,8 @@
 }
 
 #[test]
-fn a_killed_process_frees_its_port_and_its_peers_see_an_end() {
-    play(|w| async move {
+fn a_killed_process_frees_its_port_and_its_peers_see_a_close() {
+    run_virtual(|w| async move {
         let host = w.b.host();
         let listener = host.bind(at(2)).await.unwrap();
         let own = host.clone();
@@ -217,6 +222,6 @@
         w.b.kill();
         assert_eq!(c.read(&mut [0; 1]).await.unwrap(), 0);
         assert!(w.a.host().connect(at(2)).await.is_err(), "refused");
-        assert!(w.fabric.bind(at(2)).is_ok());
+        assert!(w.network.bind(at(2)).is_ok());
     });
 }
