--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! Settings of a controller: the platform's TOML file and the operators' own YAML file. Both
-//! are read once, at the start.
+//! Settings of a controller: the platform's TOML file and the operators' own YAML file. Both are
+//! read once, when the process starts.
 
 mod error;
 mod operator;
@@ -15,35 +15,35 @@
 /// All settings of a controller.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// What the platform hands over.
+    /// Settings from the platform's file.
     pub platform: Platform,
-    /// What operators choose.
+    /// Settings from the operators' file.
     pub operator: Operator,
 }
 
 impl Settings {
-    /// Reads and checks both files; without an operators' file its defaults hold.
+    /// Reads and checks both files. Without an operators' file its defaults apply.
     pub fn load(platform: &Path, operator: Option<&Path>) -> Result<Settings, SettingsError> {
         let text =
             std::fs::read_to_string(platform).map_err(|error| SettingsError::Unreadable {
                 path: platform.to_path_buf(),
                 error,
             })?;
-        let platform = Self::platform(&text)?;
+        let platform = Self::parse_platform(&text)?;
         let operator = match operator {
-            Some(path) => Self::operator(&path.display().to_string(), &file::read(path)?)?,
+            Some(path) => Self::parse_operator(&path.display().to_string(), &file::read(path)?)?,
             None => Operator::default(),
         };
         Ok(Settings { platform, operator })
     }
 
     /// Reads and checks the platform's file from its text.
-    pub fn platform(text: &str) -> Result<Platform, SettingsError> {
+    pub fn parse_platform(text: &str) -> Result<Platform, SettingsError> {
         Platform::parse(text)
     }
 
     /// Reads and checks the operators' file, called `name` in messages, from its text.
-    pub fn operator(name: &str, text: &str) -> Result<Operator, SettingsError> {
+    pub fn parse_operator(name: &str, text: &str) -> Result<Operator, SettingsError> {
         if text.trim().is_empty() {
             return Ok(Operator::default());
         }
--- a/crates/node/tests/chunked_values.rs
+++ b/crates/node/tests/chunked_values.rs
@@ -1,4 +1,4 @@
-//! Values that don't fit one record of the state service.
+//! Values that do not fit into one record of the key-value store.
 
 mod common;
 
@@ -11,10 +11,10 @@
 use cherrywood_wire::user::Submission;
 use common::*;
 
-/// A thousand jobs in one list, under values of 2 KB and 16 changes: in parts, read back
-/// whole, and written the same by a repeat after a writer that ended between two parts.
+/// A submission with a thousand dependencies, under limits of 2 KB per value and 16 changes per
+/// transaction, is written in chunks and read back whole. A repeated submission is recognised.
 #[test]
-fn submission_that_needs_a_thousand_jobs_is_stored_in_chunks() {
+fn submission_with_a_thousand_dependencies_is_stored_in_chunks() {
     run(async {
         let cluster = TestCluster::single().await;
         cluster.service.lock().unwrap().set_limits(allowed(2.0, 16));
@@ -43,7 +43,7 @@
         assert_eq!(
             row.value.submission.machine_types,
             Some(Vec::new()),
-            "fits nowhere as it is"
+            "the record alone allows no machine type"
         );
         let read = job_records::with_submission(&cluster.node, row.value.clone())
             .await
@@ -63,9 +63,9 @@
     }
 }
 
-/// The limits drop without notice while production may still have to read: the refused
-/// size is not tried again, what follows is in parts, and a reader finds the old or the
-/// new set whole, also after a writer that ended in the middle.
+/// The store's limits drop without notice while the version in production may still have to read
+/// the value. The refused size is not tried again, later values are written in chunks, and a
+/// reader finds the old or the new set whole, even after a writer that ended midway.
 #[test]
 fn values_are_chunked_when_store_limits_drop_and_are_read_whole() {
     run(async {
@@ -100,16 +100,16 @@
                 .await
                 .unwrap()
         };
-        assert_eq!(write(1).await, Ok(1), "whole, as production reads it");
+        assert_eq!(write(1).await, Ok(1), "whole, as the old version reads it");
         cluster.service.lock().unwrap().set_limits(allowed(2.0, 16));
-        assert_eq!(read().await, Some(histograms(1)), "what is stored stays");
+        assert_eq!(read().await, Some(histograms(1)), "stored value unchanged");
         assert!(write(2).await.is_err(), "refused for its size");
         let changes = write(2).await.unwrap();
         assert!(changes > 7, "{changes}");
         assert_eq!(read().await, Some(histograms(2)));
         write(3).await.unwrap();
         assert_eq!(read().await, Some(histograms(3)));
-        // A writer that ends before the record that names its parts.
+        // A writer ends before it has written the record that names its chunks.
         let slot = cluster
             .node
             .store
@@ -117,46 +117,49 @@
             .await
             .unwrap();
         let slot = 1 - slot.unwrap().value.chunks.unwrap().slot;
-        let torn = format!("{}0", keys::parts(key, slot));
-        let part = cherrywood_wire::chunks::ChunkRecord {
+        let chunk_key = format!("{}0", keys::parts(key, slot));
+        let chunk = cherrywood_wire::chunks::ChunkRecord {
             set_id: 77,
             text: "half".into(),
         };
-        cluster.put_record(&torn, StoredRecord::Chunk(part)).await;
+        cluster
+            .put_record(&chunk_key, StoredRecord::Chunk(chunk))
+            .await;
         assert_eq!(read().await, Some(histograms(3)));
         write(4).await.unwrap();
         assert_eq!(read().await, Some(histograms(4)));
-        // The version before reads an empty value, and no error.
+        // The previous version reads an empty value rather than an error.
         #[derive(serde::Deserialize)]
-        struct Old {
+        struct PreviousHistograms {
             pooled: String,
             keys: Vec<(String, u64, f64, String)>,
         }
         let old = cluster
             .node
             .store
-            .get::<Old>(key)
+            .get::<PreviousHistograms>(key)
             .await
             .unwrap()
             .unwrap()
             .value;
         assert!(old.pooled.is_empty() && old.keys.is_empty());
-        // Lower than anybody said: smaller again, instead of the same for ever.
+        // The limits drop below the announced ones: the next write is made for the lower limits
+        // instead of repeating the refused one for ever.
         cluster.service.lock().unwrap().set_limits(allowed(1.0, 8));
         assert!(write(5).await.is_err());
         write(5).await.unwrap();
         assert_eq!(read().await, Some(histograms(5)));
         let store_limits = cluster.node.store.limits();
-        let least = ConfiguredLimits {
+        let lowest = ConfiguredLimits {
             rps: 9000.0,
             write_rps: 9000.0,
             value_kb: 1.0,
             txn_ops: 8,
         };
-        let small = StoreLimits::new(least, least);
+        let expected = StoreLimits::new(lowest, lowest);
         assert_eq!(
             (store_limits.value_bytes, store_limits.txn_changes),
-            (small.value_bytes, small.txn_changes)
+            (expected.value_bytes, expected.txn_changes)
         );
     });
 }
