--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -1,10 +1,10 @@
 //! The emulated cloud: rents machines by the second, boots them, lists them with a lag, and
 //! reclaims spot machines.
 
-use crate::fabric::{Role, lock};
 use crate::machine::Traits;
-use crate::proc::Proc;
-use crate::state::with_address;
+use crate::network::{Role, lock};
+use crate::process::Process;
+use crate::state_service::with_address;
 use crate::worker::{self, Worker, record_up};
 use crate::world::World;
 use cherrywood_checker::What;
@@ -87,7 +87,7 @@
     world: Arc<World>,
     host: Runtime,
     core: Mutex<Core>,
-    proc: Arc<Proc>,
+    proc: Arc<Process>,
 }
 
 fn between(rng: &mut Pcg64, (least, most): (f64, f64)) -> f64 {
@@ -136,7 +136,7 @@
         Ok(me)
     }
 
-    pub fn proc(&self) -> &Proc {
+    pub fn proc(&self) -> &Process {
         &self.proc
     }
 
@@ -163,7 +163,7 @@
         let half = d.latency_ms / 2000.0 * (0.5 + self.chance());
         self.host.sleep(half).await;
         let down = |t: &Trouble| matches!(t, Trouble::CloudOutage(_)).then_some(());
-        if !self.world.now_in(down).is_empty() {
+        if !self.world.active_faults(down).is_empty() {
             return unavailable("trouble");
         }
         if !lock(&self.core).rate.try_take(1.0, self.host.now()) {
@@ -174,7 +174,7 @@
             Trouble::CloudLate(t) => Some((t.share, t.by_s)),
             _ => None,
         };
-        for (share, by_s) in self.world.now_in(late) {
+        for (share, by_s) in self.world.active_faults(late) {
             if self.chance() < share {
                 self.host.sleep(by_s).await;
             }
@@ -249,7 +249,7 @@
             Trouble::CloudStale(t) => Some(t.lag_s),
             _ => None,
         };
-        for extra in self.world.now_in(stale) {
+        for extra in self.world.active_faults(stale) {
             lag += extra * self.chance();
         }
         let as_of = self.world.now_s() - lag;
@@ -308,7 +308,7 @@
             Trouble::CloudFull(t) => Some(t.zone.clone()),
             _ => None,
         };
-        let full = self.world.now_in(full);
+        let full = self.world.active_faults(full);
         let full = full
             .iter()
             .any(|z| z.as_ref().is_none_or(|z| *z == rent.zone));
@@ -392,7 +392,7 @@
             Trouble::BootsLate(t) => Some((t.late, t.times, t.never, t.zone.clone())),
             _ => None,
         };
-        let troubles = self.world.now_in(boots);
+        let troubles = self.world.active_faults(boots);
         let core = &mut *lock(&self.core);
         let m = core.machines.get(name)?;
         let (mut late, mut never, mut times) = (m.kind.boot_late, m.kind.boot_never, None);
@@ -568,7 +568,7 @@
     }
 
     /// Returns all machines at the end of the scenario.
-    pub fn close(&self) {
+    pub fn return_all_machines(&self) {
         let names: Vec<String> = {
             let core = lock(&self.core);
             let held = core.machines.iter().filter(|(_, m)| m.is_held());
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/fault_injection.rs
@@ -1,9 +1,9 @@
 //! Injects the scenario's faults, each at its time.
 
 use crate::cloud::Cloud;
-use crate::fabric::{Group, PathFault, Role, lock};
-use crate::proc::Transport;
-use crate::state::{StateHost, draw_controllers};
+use crate::network::{Group, PathFault, Role, lock};
+use crate::process::Transport;
+use crate::state_service::{StateService, draw_controllers};
 use crate::users::Users;
 use crate::worker::Worker;
 use crate::world::World;
@@ -18,7 +18,7 @@
 
 /// Control over the controllers, implemented by the player of the scenario: as tasks in
 /// virtual time, or as processes.
-pub trait Nodes: Send + Sync {
+pub trait ControllerSupervisor: Send + Sync {
     fn start(&self, node: usize);
     fn kill(&self, node: usize);
     fn freeze(&self, node: usize);
@@ -34,12 +34,12 @@
     Frozen,
 }
 
-pub struct Troubles {
+pub struct FaultInjector {
     world: Arc<World>,
-    state: Arc<StateHost>,
+    state: Arc<StateService>,
     cloud: Arc<Cloud>,
     users: Arc<Users>,
-    nodes: Arc<dyn Nodes>,
+    nodes: Arc<dyn ControllerSupervisor>,
     states: Mutex<Vec<ControllerState>>,
     rng: Mutex<Pcg64>,
 }
@@ -55,16 +55,16 @@
     tokio::time::sleep(Duration::from_secs_f64(s.max(0.0))).await;
 }
 
-impl Troubles {
+impl FaultInjector {
     pub fn new(
         world: &Arc<World>,
-        state: &Arc<StateHost>,
+        state: &Arc<StateService>,
         cloud: &Arc<Cloud>,
         users: &Arc<Users>,
-        nodes: Arc<dyn Nodes>,
-    ) -> Arc<Troubles> {
+        nodes: Arc<dyn ControllerSupervisor>,
+    ) -> Arc<FaultInjector> {
         let count = world.scenario.deployment.controllers as usize;
-        Arc::new(Troubles {
+        Arc::new(FaultInjector {
             world: world.clone(),
             state: state.clone(),
             cloud: cloud.clone(),
@@ -125,7 +125,7 @@
     }
 
     /// Records that a controller exited by itself, which none should, and restarts it.
-    pub fn ended(self: &Arc<Self>, node: usize, why: &str) {
+    pub fn controller_exited(self: &Arc<Self>, node: usize, why: &str) {
         if lock(&self.states)[node] != ControllerState::Down {
             lock(&self.states)[node] = ControllerState::Down;
             self.record_node(node, &format!("ended by itself: {why}"));
--- a/crates/emulator/src/fault_requests.rs
+++ b/crates/emulator/src/fault_requests.rs
@@ -1,8 +1,8 @@
 //! User requests that only faults cause: cancellations at set moments, malformed or
 //! otherwise invalid requests, and status queries to all controllers within milliseconds.
 
-use crate::fabric::lock;
 use crate::jobs::history_job;
+use crate::network::lock;
 use crate::users::Users;
 use cherrywood_checker::What;
 use cherrywood_checker::history::Ask;
@@ -81,7 +81,7 @@
             Trouble::CancelAtEnd(t) => Some(t.share),
             _ => None,
         };
-        let shares = self.world.now_in(share);
+        let shares = self.world.active_faults(share);
         shares.into_iter().any(|share| self.chance() < share)
     }
 
@@ -91,7 +91,7 @@
     /// repeats its submission at one of them.
     pub(crate) fn query_all_controllers(self: &Arc<Self>, job: &str) {
         let close = |t: &Trouble| matches!(t, Trouble::CloseLooks(_)).then_some(());
-        if self.world.now_in(close).is_empty() {
+        if self.world.active_faults(close).is_empty() {
             return;
         }
         let nodes = self.world.addresses.nodes.len();
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -5,21 +5,21 @@
 
 pub mod balancer;
 pub mod cloud;
-pub mod fabric;
+pub mod fault_injection;
 mod fault_requests;
 pub mod jobs;
 pub mod machine;
-pub mod proc;
-pub mod state;
-pub mod troubles;
+pub mod network;
+pub mod process;
+pub mod state_service;
 pub mod users;
 pub mod worker;
 pub mod world;
 
 pub use cloud::Cloud;
-pub use fabric::Network;
-pub use proc::{Clocks, Proc, Transport};
-pub use state::StateHost;
-pub use troubles::{Nodes, Troubles};
+pub use fault_injection::{ControllerSupervisor, FaultInjector};
+pub use network::Network;
+pub use process::{Clocks, Process, Transport};
+pub use state_service::StateService;
 pub use users::Users;
 pub use world::World;
--- a/crates/emulator/src/proc.rs
+++ b/crates/emulator/src/process.rs
@@ -2,7 +2,7 @@
 //! killed, and access to the network, which is simulated or, in a simulation with real
 //! processes, loopback.
 
-use crate::fabric::{Network, lock};
+use crate::network::{Network, lock};
 use cherrywood_net::runtime::{BoxFuture, EmulatedRuntime, Listener, Runtime, Stream};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -59,7 +59,7 @@
 /// Unix time at which every emulated scenario begins: 2026-01-01.
 const EPOCH_MS: u64 = 1_767_225_600_000;
 
-pub struct Proc {
+pub struct Process {
     pub name: Arc<str>,
     pub ip: IpAddr,
     transport: Transport,
@@ -68,16 +68,16 @@
     scenario: Instant,
     rng: Mutex<Pcg64>,
     tasks: Mutex<Tasks>,
-    me: Weak<Proc>,
+    me: Weak<Process>,
 }
 
-impl std::fmt::Debug for Proc {
+impl std::fmt::Debug for Process {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Proc({})", self.name)
+        write!(f, "Process({})", self.name)
     }
 }
 
-impl Proc {
+impl Process {
     /// `scenario` is the instant at which the scenario began.
     pub fn new(
         name: &str,
@@ -86,8 +86,8 @@
         clocks: Clocks,
         scenario: Instant,
         seed: u64,
-    ) -> Arc<Proc> {
-        Arc::new_cyclic(|me| Proc {
+    ) -> Arc<Process> {
+        Arc::new_cyclic(|me| Process {
             name: name.into(),
             ip,
             transport,
@@ -102,7 +102,7 @@
 
     pub fn host(&self) -> Runtime {
         let me = self.me.upgrade();
-        Runtime::emulated(me.expect("host() is called through an Arc<Proc> that is still alive"))
+        Runtime::emulated(me.expect("host() is called through an Arc<Process> that is still alive"))
     }
 
     /// Suspends all tasks of the process; its clocks run on.
@@ -156,7 +156,7 @@
     }
 }
 
-impl EmulatedRuntime for Proc {
+impl EmulatedRuntime for Process {
     fn now(&self) -> f64 {
         let s = self.start.elapsed().as_secs_f64();
         self.clocks.offset_s + s * (1.0 + self.clocks.drift)
@@ -221,7 +221,7 @@
 /// A task of a process: not polled while the process is suspended, and delayed while the
 /// process is slow.
 struct ProcessTask {
-    proc: Arc<Proc>,
+    proc: Arc<Process>,
     id: u64,
     task: BoxFuture<()>,
     late: Option<Pin<Box<Sleep>>>,
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state_service.rs
@@ -2,8 +2,8 @@
 //! slowness, reduced rates, and responses lost before, after or long before the request is
 //! executed.
 
-use crate::fabric::{Role, lock};
-use crate::proc::Proc;
+use crate::network::{Role, lock};
+use crate::process::Process;
 use crate::world::{Leadership, World};
 use cherrywood_net::Runtime;
 use cherrywood_net::server::{self, Request, Response};
@@ -29,7 +29,7 @@
 /// Most connections from one controller.
 const CONNECTIONS: usize = 10_000;
 
-pub struct StateHost {
+pub struct StateService {
     world: Arc<World>,
     host: Runtime,
     service: Mutex<StoreService>,
@@ -38,11 +38,11 @@
     changed: Notify,
     /// Refused controllers, by fault id.
     refused: Mutex<Vec<(u64, Vec<usize>)>>,
-    proc: Arc<Proc>,
+    proc: Arc<Process>,
 }
 
-impl StateHost {
-    pub async fn start(world: &Arc<World>) -> io::Result<Arc<StateHost>> {
+impl StateService {
+    pub async fn start(world: &Arc<World>) -> io::Result<Arc<StateService>> {
         let proc = world.region_process("state", Role::State);
         let s = &world.scenario.deployment.state;
         let allowed = ServiceLimits {
@@ -51,7 +51,7 @@
             value_kb: s.value_kb,
             txn_ops: s.txn_ops,
         };
-        let me = Arc::new(StateHost {
+        let me = Arc::new(StateService {
             world: world.clone(),
             host: proc.host(),
             service: Mutex::new(StoreService::new(allowed)),
@@ -75,7 +75,7 @@
         Ok(me)
     }
 
-    pub fn proc(&self) -> &Proc {
+    pub fn proc(&self) -> &Process {
         &self.proc
     }
 
@@ -112,7 +112,7 @@
 
     fn is_down(&self) -> bool {
         let down = |t: &Trouble| matches!(t, Trouble::StateOutage(_)).then_some(());
-        !self.world.now_in(down).is_empty()
+        !self.world.active_faults(down).is_empty()
     }
 
     /// Restarts every lease with its full time once no outage is left.
@@ -129,7 +129,11 @@
             Trouble::StateBehind(t) => Some(t.share),
             _ => None,
         };
-        let share = self.world.now_in(behind).into_iter().fold(1.0, f64::min);
+        let share = self
+            .world
+            .active_faults(behind)
+            .into_iter()
+            .fold(1.0, f64::min);
         lock(&self.service).set_share(share);
     }
 
@@ -164,7 +168,7 @@
             Trouble::StateSlow(t) => Some((t.share, t.ms)),
             _ => None,
         };
-        for (share, extra) in self.world.now_in(slow) {
+        for (share, extra) in self.world.active_faults(slow) {
             if self.chance() < share {
                 ms += extra * (0.5 + self.chance());
             }
@@ -177,7 +181,7 @@
             Trouble::StateLoses(t) => Some((t.share, t.when, t.late_s)),
             _ => None,
         };
-        let all = self.world.now_in(loses);
+        let all = self.world.active_faults(loses);
         let hit = all.into_iter().find(|(share, ..)| self.chance() < *share);
         hit.map(|(_, when, late_s)| (when, late_s))
     }
@@ -192,7 +196,7 @@
             Trouble::LateWrites(t) => Some((t.share, t.at_once)),
             _ => None,
         };
-        let all = self.world.now_in(late);
+        let all = self.world.active_faults(late);
         let hit = all.into_iter().find(|(share, _)| self.chance() < *share);
         hit.map(|(_, at_once)| match at_once {
             true => (Lost::After, 0.0),
@@ -206,7 +210,7 @@
     /// Whether a fault leaves watches waiting.
     fn has_watch_lag(&self) -> bool {
         let lag = |t: &Trouble| matches!(t, Trouble::WatchLag(_)).then_some(());
-        !self.world.now_in(lag).is_empty()
+        !self.world.active_faults(lag).is_empty()
     }
 
     async fn respond(self: &Arc<Self>, node: usize, request: Request) -> Response {
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -4,9 +4,9 @@
 use crate::balancer::{
     ACCEPT_TIMEOUT_S, LoadBalancer, MAX_TRIES, PROBE_INTERVAL_S, PROBE_TIMEOUT_S,
 };
-use crate::fabric::{Role, lock};
 use crate::jobs::{JobGenerator, PlannedJob};
-use crate::proc::Proc;
+use crate::network::{Role, lock};
+use crate::process::Process;
 use crate::world::World;
 use cherrywood_checker::What;
 use cherrywood_checker::history::{Ask, State};
@@ -44,7 +44,7 @@
 /// The load balancer and all users.
 pub struct Users {
     pub(crate) world: Arc<World>,
-    proc: Arc<Proc>,
+    proc: Arc<Process>,
     pub(crate) host: Runtime,
     balancer: Mutex<LoadBalancer>,
     /// Number of times that the connections to each controller were reset.
@@ -140,11 +140,11 @@
         me
     }
 
-    pub fn proc(&self) -> &Proc {
+    pub fn proc(&self) -> &Process {
         &self.proc
     }
 
-    pub fn healthy(&self, node: usize) -> bool {
+    pub fn is_healthy(&self, node: usize) -> bool {
         lock(&self.balancer).is_healthy(node)
     }
 
@@ -296,7 +296,11 @@
                 Trouble::JobBurst(t) if t.class == c.name => Some(t.times),
                 _ => None,
             };
-            let times = self.world.now_in(burst).into_iter().fold(1.0, f64::max);
+            let times = self
+                .world
+                .active_faults(burst)
+                .into_iter()
+                .fold(1.0, f64::max);
             let expected = c.per_minute / 60.0 * ARRIVAL_INTERVAL_S * times;
             // Poisson distribution by Knuth's method; the expected count in so short a time
             // is small.
@@ -508,7 +512,11 @@
                 Trouble::PollStorm(t) => Some(t.times),
                 _ => None,
             };
-            let times = self.world.now_in(storm).into_iter().fold(1.0, f64::max);
+            let times = self
+                .world
+                .active_faults(storm)
+                .into_iter()
+                .fold(1.0, f64::max);
             let pause = every / times * self.host.random_between(0.8, 1.2);
             let now = self.host.now();
             let due = cancel_at.filter(|at| *at <= now + pause);
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,10 +1,10 @@
 //! A worker: sends heartbeats to the controllers, serves direct commands, and advances its
 //! machine's state over time.
 
-use crate::fabric::{Role, lock};
 use crate::machine::{Machine, Traits};
-use crate::proc::{Proc, Transport};
-use crate::state::with_address;
+use crate::network::{Role, lock};
+use crate::process::{Process, Transport};
+use crate::state_service::with_address;
 use crate::world::World;
 use cherrywood_checker::What;
 use cherrywood_checker::history::Off;
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct Worker {
     world: Arc<World>,
-    pub proc: Arc<Proc>,
+    pub proc: Arc<Process>,
     host: Runtime,
     machine: Mutex<Machine>,
     /// Notified when the machine has a change to report.
@@ -91,7 +91,7 @@
             Transport::Simulated(_) => worker_ip(name),
             Transport::Loopback => Ipv4Addr::LOCALHOST.into(),
         };
-        let proc = world.proc(name, ip, Role::Worker, Some(zone));
+        let proc = world.process(name, ip, Role::Worker, Some(zone));
         let host = proc.host();
         let port = match world.transport {
             Transport::Simulated(_) => PORT,
@@ -278,7 +278,7 @@
             Trouble::LateCommands(t) => Some(t.share),
             _ => None,
         };
-        let shares = self.world.now_in(late).into_iter();
+        let shares = self.world.active_faults(late).into_iter();
         shares.fold(false, |hit, share| {
             hit | (self.host.random_between(0.0, 1.0) < share)
         })
@@ -382,7 +382,7 @@
             Trouble::LateReports(t) => Some(t.clone()),
             _ => None,
         };
-        for trouble in self.world.now_in(copies) {
+        for trouble in self.world.active_faults(copies) {
             if self.host.random_between(0.0, 1.0) >= trouble.share {
                 continue;
             }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -2,9 +2,9 @@
 //! jobs that users uploaded, task progress kept outside machines, active faults, and the
 //! history.
 
-use crate::fabric::{Delays, Network, Role, lock};
 use crate::machine::{MachineEvent, TaskSpec};
-use crate::proc::{Clocks, Proc, Transport};
+use crate::network::{Delays, Network, Role, lock};
+use crate::process::{Clocks, Process, Transport};
 use cherrywood_checker::history::{Facts, Job};
 use cherrywood_checker::{Checker, History, What};
 use cherrywood_scenario::{Scenario, Trouble};
@@ -187,7 +187,7 @@
     }
 
     /// Creates a process on a host in a zone, or in the region outside all zones (`None`).
-    pub fn proc(&self, name: &str, ip: IpAddr, role: Role, zone: Option<&str>) -> Arc<Proc> {
+    pub fn process(&self, name: &str, ip: IpAddr, role: Role, zone: Option<&str>) -> Arc<Process> {
         if matches!(self.transport, Transport::Simulated(_)) {
             self.network.add_host(ip, role, zone);
         }
@@ -203,16 +203,16 @@
             Transport::Loopback => Clocks::default(),
         };
         let seed = rng.random();
-        Proc::new(name, ip, self.transport.clone(), clocks, self.start, seed)
+        Process::new(name, ip, self.transport.clone(), clocks, self.start, seed)
     }
 
-    pub fn region_process(&self, name: &str, role: Role) -> Arc<Proc> {
+    pub fn region_process(&self, name: &str, role: Role) -> Arc<Process> {
         let ip = match role {
             Role::State => STATE,
             Role::Cloud => CLOUD,
             _ => USERS,
         };
-        self.proc(name, ip.into(), role, None)
+        self.process(name, ip.into(), role, None)
     }
 
     pub fn node_name(&self, node: usize) -> String {
@@ -246,9 +246,9 @@
     }
 
     /// Calls a function with the history and the checker as they are now; for observers.
-    pub fn look<T>(&self, at: impl FnOnce(&History, &Checker) -> T) -> T {
+    pub fn inspect<T>(&self, read: impl FnOnce(&History, &Checker) -> T) -> T {
         let core = lock(&self.core);
-        at(&core.history, &core.checker)
+        read(&core.history, &core.checker)
     }
 
     // --- faults ---
@@ -278,12 +278,12 @@
         }
     }
 
-    /// Returns the values that `of` selects from the active faults.
-    pub fn now_in<T>(&self, of: impl Fn(&Trouble) -> Option<T>) -> Vec<T> {
+    /// Returns the values that `select` returns for the active faults.
+    pub fn active_faults<T>(&self, select: impl Fn(&Trouble) -> Option<T>) -> Vec<T> {
         let core = lock(&self.core);
         core.active_faults
             .iter()
-            .filter_map(|(_, t)| of(t))
+            .filter_map(|(_, t)| select(t))
             .collect()
     }
 
--- a/crates/emulator/tests/faults.rs
+++ b/crates/emulator/tests/faults.rs
@@ -3,8 +3,10 @@
 
 use cherrywood_checker::What;
 use cherrywood_checker::history::{Ask, Off};
-use cherrywood_emulator::fabric::Role;
-use cherrywood_emulator::{Cloud, Nodes, Proc, StateHost, Troubles, Users, World};
+use cherrywood_emulator::network::Role;
+use cherrywood_emulator::{
+    Cloud, ControllerSupervisor, FaultInjector, Process, StateService, Users, World,
+};
 use cherrywood_net::client::exchange;
 use cherrywood_net::server::{self, Request, Response};
 use cherrywood_scenario::Scenario;
@@ -119,16 +121,16 @@
 
 struct Setup {
     world: Arc<World>,
-    state: Arc<StateHost>,
+    state: Arc<StateService>,
     cloud: Arc<Cloud>,
     controllers: Arc<Mutex<ControllerState>>,
-    nodes: Vec<Arc<Proc>>,
+    nodes: Vec<Arc<Process>>,
 }
 
 /// Ignores faults of controllers.
 struct NoNodeFaults;
 
-impl Nodes for NoNodeFaults {
+impl ControllerSupervisor for NoNodeFaults {
     fn start(&self, _: usize) {}
     fn kill(&self, _: usize) {}
     fn freeze(&self, _: usize) {}
@@ -172,7 +174,7 @@
     async fn start(text: &str) -> Setup {
         let scenario = Scenario::parse("test.yaml", text).unwrap();
         let world = World::new(scenario, 1, None);
-        let state = StateHost::start(&world).await.unwrap();
+        let state = StateService::start(&world).await.unwrap();
         let cloud = Cloud::start(&world).await.unwrap();
         let controllers = Arc::new(Mutex::new(ControllerState {
             places_tasks: true,
@@ -181,7 +183,7 @@
         let mut nodes = Vec::new();
         for (node, (at, _)) in world.addresses.nodes.iter().enumerate() {
             let name = world.node_name(node);
-            let proc = world.proc(&name, at.ip(), Role::Node, Some("north"));
+            let proc = world.process(&name, at.ip(), Role::Node, Some("north"));
             let listener = proc.host().bind(*at).await.unwrap();
             let (controllers, clock) = (controllers.clone(), world.clone());
             let on_request = Arc::new(move |request: Request, _: SocketAddr| {
@@ -194,7 +196,7 @@
             nodes.push(proc);
         }
         let users = Users::start(&world);
-        Troubles::new(&world, &state, &cloud, &users, Arc::new(NoNodeFaults)).start();
+        FaultInjector::new(&world, &state, &cloud, &users, Arc::new(NoNodeFaults)).start();
         Setup {
             world,
             state,
@@ -214,7 +216,7 @@
         let all = |events: &[cherrywood_checker::history::Event]| {
             events.iter().filter_map(|e| of(e.at_ms, &e.what)).collect()
         };
-        self.world.look(|history, _| all(&history.events))
+        self.world.inspect(|history, _| all(&history.events))
     }
 
     /// Sends a request from the first controller; `None` if no response arrived within
--- a/crates/emulator/tests/network.rs
+++ b/crates/emulator/tests/network.rs
@@ -1,7 +1,7 @@
 //! The simulated network: delay, order, broken paths, power loss.
 
-use cherrywood_emulator::fabric::{Delays, Group, PathFault, Role};
-use cherrywood_emulator::{Clocks, Network, Proc, Transport};
+use cherrywood_emulator::network::{Delays, Group, PathFault, Role};
+use cherrywood_emulator::{Clocks, Network, Process, Transport};
 use cherrywood_net::Runtime;
 use cherrywood_net::runtime::{Listener, Stream};
 use cherrywood_scenario::Cut;
@@ -17,8 +17,8 @@
 
 struct World {
     network: Arc<Network>,
-    a: Arc<Proc>,
-    b: Arc<Proc>,
+    a: Arc<Process>,
+    b: Arc<Process>,
 }
 
 fn world() -> World {
@@ -33,7 +33,7 @@
     network.add_host(ip(2), Role::State, None);
     let proc = |n: u8| {
         let transport = Transport::Simulated(network.clone());
-        Proc::new("p", ip(n), transport, Clocks::default(), Instant::now(), 1)
+        Process::new("p", ip(n), transport, Clocks::default(), Instant::now(), 1)
     };
     let (a, b) = (proc(1), proc(2));
     World { network, a, b }
@@ -180,7 +180,7 @@
             wall_offset_ms: -250.0,
         };
         let transport = Transport::Simulated(w.network.clone());
-        let p = Proc::new("p", ip(1), transport, fast, Instant::now(), 1);
+        let p = Process::new("p", ip(1), transport, fast, Instant::now(), 1);
         let host = p.host();
         let n = count(&host);
         let seen = || *n.lock().unwrap();
--- a/crates/simulation/src/live.rs
+++ b/crates/simulation/src/live.rs
@@ -87,7 +87,7 @@
                 name: world.node_name(n),
                 zone: world.node_zone(n),
                 is,
-                healthy: scene.users.healthy(n),
+                healthy: scene.users.is_healthy(n),
                 epoch: view.as_ref().and_then(|v| v.leading_term),
                 grants: view.as_ref().map_or(0, |v| v.granted_machines),
             }
@@ -106,7 +106,7 @@
         let all = world.scenario.all_troubles(world.seed);
         let next = all.iter().filter(|t| t.at_s() > now_s).take(NEXT_SHOWN);
         let (hourly, spent) = scene.cloud.spending();
-        let (submitted, broken, last_breach) = world.look(|h, j| {
+        let (submitted, broken, last_breach) = world.inspect(|h, j| {
             let is = |e: &&cherrywood_checker::Event| matches!(e.what, What::Submitted { .. });
             let submitted = h.events.iter().filter(is).count();
             let last = j.breaches.last().map(ToString::to_string);
@@ -123,7 +123,7 @@
                 .map(|v| v.pending_tasks_by_level.clone())
                 .unwrap_or_default(),
             teams: leader.map(|v| v.team_cpus.clone()).unwrap_or_default(),
-            troubles_now: world.now_in(|t: &Trouble| Some(t.name().to_string())),
+            troubles_now: world.active_faults(|t: &Trouble| Some(t.name().to_string())),
             troubles_next: next.map(|t| (t.at_s(), t.name().to_string())).collect(),
             broken,
             last_breach,
--- a/crates/simulation/src/log.rs
+++ b/crates/simulation/src/log.rs
@@ -3,7 +3,7 @@
 
 use cherrywood_checker::history::Event;
 use cherrywood_checker::{History, What};
-use cherrywood_emulator::proc;
+use cherrywood_emulator::process;
 use std::collections::VecDeque;
 use std::fmt::{self, Write as _};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -129,7 +129,7 @@
     }
 
     fn keep(&self, level: Level, text: String, life: bool) {
-        let node = proc::current().unwrap_or_else(|| "tool".into());
+        let node = process::current().unwrap_or_else(|| "tool".into());
         self.keep_of(&node, level, text, life);
     }
 
--- a/crates/simulation/src/nodes.rs
+++ b/crates/simulation/src/nodes.rs
@@ -4,8 +4,8 @@
 use cherrywood_control::settings::{
     CloudLimits, NextLimits, Objective, StateLimits, Team, Workers,
 };
-use cherrywood_emulator::fabric::Role;
-use cherrywood_emulator::{Nodes, Proc, World};
+use cherrywood_emulator::network::Role;
+use cherrywood_emulator::{ControllerSupervisor, Process, World};
 use cherrywood_node::node::{Node, NodeStatus};
 use cherrywood_node::settings::{
     Deployment, Limits, Member, Operator, Platform, Services, Settings,
@@ -104,7 +104,7 @@
 
 #[derive(Debug, Default)]
 struct Slot {
-    proc: Option<Arc<Proc>>,
+    proc: Option<Arc<Process>>,
     node: Arc<Mutex<Weak<Node>>>,
 }
 
@@ -139,16 +139,16 @@
     }
 }
 
-/// [`Nodes`] for an owner that is shared.
+/// [`ControllerSupervisor`] for an owner that is shared.
 pub struct Shared(pub Arc<InProcess>);
 
-impl Nodes for Shared {
+impl ControllerSupervisor for Shared {
     fn start(&self, node: usize) {
         let me = &self.0;
         let name = me.world.node_name(node);
         let zone = me.world.node_zone(node);
         let ip = me.world.addresses.nodes[node].0.ip();
-        let proc = me.world.proc(&name, ip, Role::Node, Some(&zone));
+        let proc = me.world.process(&name, ip, Role::Node, Some(&zone));
         let settings = Settings {
             platform: platform(&me.world, node),
             operator: me.operator.clone(),
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -7,7 +7,7 @@
 use cherrywood_checker::{
     Aims, Breach, Checker, Failure, GroupFigures, History, Least, Wait, What, aims,
 };
-use cherrywood_emulator::{Cloud, Nodes, StateHost, Troubles, Users, World};
+use cherrywood_emulator::{Cloud, ControllerSupervisor, FaultInjector, StateService, Users, World};
 use cherrywood_node::node::NodeStatus;
 use cherrywood_node::settings::Operator;
 use cherrywood_scenario::Scenario;
@@ -33,10 +33,10 @@
 /// What the watcher of a scenario may see, four times a virtual second.
 pub struct Scene<'a> {
     pub world: &'a Arc<World>,
-    pub state: &'a Arc<StateHost>,
+    pub state: &'a Arc<StateService>,
     pub cloud: &'a Arc<Cloud>,
     pub users: &'a Arc<Users>,
-    pub troubles: &'a Arc<Troubles>,
+    pub troubles: &'a Arc<FaultInjector>,
     pub controllers: &'a Controllers,
 }
 
@@ -144,10 +144,10 @@
     let scenario = scenario.with_draws(options.seed);
     let world = World::new(scenario.clone(), options.seed, options.processes);
     log.begin();
-    let state = StateHost::start(&world).await?;
+    let state = StateService::start(&world).await?;
     let cloud = Cloud::start(&world).await?;
     let users = Users::start(&world);
-    let (controllers, nodes): (_, Arc<dyn Nodes>) = match options.processes {
+    let (controllers, nodes): (_, Arc<dyn ControllerSupervisor>) = match options.processes {
         None => {
             let all = InProcess::new(&world, options.operator.clone());
             (Controllers::Inside(all.clone()), Arc::new(Shared(all)))
@@ -157,7 +157,7 @@
             (Controllers::Processes(all.clone()), all)
         }
     };
-    let troubles = Troubles::new(&world, &state, &cloud, &users, nodes);
+    let troubles = FaultInjector::new(&world, &state, &cloud, &users, nodes);
     troubles.start();
     let scene = Scene {
         world: &world,
@@ -175,7 +175,7 @@
         let now = world.now_s();
         for (node, why) in controllers.ended() {
             ended.push(format!("{}: {why}", world.node_name(node)));
-            troubles.ended(node, &why);
+            troubles.controller_exited(node, &why);
         }
         if now >= waiting_at {
             waiting_at += WAITING_EVERY_S;
@@ -208,7 +208,7 @@
     if let Controllers::Processes(all) = &controllers {
         all.stop();
     }
-    cloud.close();
+    cloud.return_all_machines();
     let scenario_s = world.now_s();
     let (sizes, over_rate) = (state.size(), state.over_rate());
     let history = world.finish();
--- a/crates/simulation/src/processes.rs
+++ b/crates/simulation/src/processes.rs
@@ -4,7 +4,7 @@
 use crate::log::Log;
 use crate::nodes::platform;
 use anyhow::Context as _;
-use cherrywood_emulator::{Nodes, World};
+use cherrywood_emulator::{ControllerSupervisor, World};
 use cherrywood_node::settings::Operator;
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead as _, BufReader};
@@ -99,7 +99,7 @@
     }
 }
 
-impl Nodes for Processes {
+impl ControllerSupervisor for Processes {
     fn start(&self, node: usize) {
         let spawned = Command::new(&self.program)
             .arg("--operator")
