--- a/crates/control/src/leader/admitting.rs
+++ b/crates/control/src/leader/admitting.rs
@@ -1,4 +1,4 @@
-//! What the leader knows that admission needs: expected work, backlog and the fleet's
+//! The leader's inputs to admission control: expected work, backlog and the fleet's
 //! throughput; and the tenant classes that are under-served.
 
 use super::*;
@@ -10,12 +10,12 @@
 use limits::admission as bounds;
 
 impl Leader {
-    /// Expected CPU seconds of a whole job.
+    /// Returns the expected CPU seconds of a whole job.
     pub(super) fn expected_work(&self, spec: &Submission) -> f64 {
-        work(spec, self.predictor.median_s(&spec.predictor_key()))
+        expected_work(spec, self.predictor.median_s(&spec.predictor_key()))
     }
 
-    /// Recomputes the admission table; Some if it changed enough to be published.
+    /// Recomputes the admission table; returns it if it changed enough to be published.
     pub fn publish_admission_table(
         &mut self,
         refused: Vec<RefusedJob>,
@@ -27,66 +27,66 @@
             .then(|| self.admission.table())
     }
 
-    /// The newest admission table.
+    /// Returns the newest admission table.
     pub fn admission_table(&self) -> &AdmissionTable {
         self.admission.table()
     }
 
-    /// The state of the admission controller, as it is kept for the next leader.
+    /// Returns the state of the admission controller as it is stored for the next leader.
     pub fn admission_value(&self) -> AdmissionValue {
         self.admission.stored_value()
     }
 
-    /// The cluster as admission must see it. Also records the CPUs that are up, which is why it
-    /// changes the leader.
+    /// Returns the state of the cluster that admission decides by. Also records the CPUs that are
+    /// up, which is why this takes the leader mutably.
     fn admission_view(&mut self, refused: Vec<RefusedJob>, now: f64) -> ClusterView {
-        let (mut up, mut coming, mut standing, mut placed) = (0.0, 0.0, 0.0, 0.0);
+        let (mut up, mut booting, mut services, mut placed) = (0.0, 0.0, 0.0, 0.0);
         for m in self
             .machines
             .values()
             .filter(|m| !m.cordoned && !m.deleting)
         {
             let cpus = self.cpus_of(&m.machine_type);
-            let n = if m.up { &mut up } else { &mut coming };
-            *n += cpus;
+            let sum = if m.up { &mut up } else { &mut booting };
+            *sum += cpus;
             for p in m.placements.iter() {
                 placed += p.cpus;
                 let job = p.job.and_then(|no| self.jobs.get(&no));
                 if job.is_some_and(|j| j.spec.kind == JobKind::Service) {
-                    standing += p.cpus;
+                    services += p.cpus;
                 }
             }
         }
-        let waits = self
+        let has_pending = self
             .pending_queue
             .ranges()
             .any(|r| self.jobs.contains_key(&r.job));
-        let busy = waits && placed > up * bounds::THROUGHPUT_MEASURED_CPU_SHARE;
+        let is_saturated = has_pending && placed > up * bounds::THROUGHPUT_MEASURED_CPU_SHARE;
         self.admission
-            .record_capacity(up, now - self.capacity_sampled_at, busy);
+            .record_capacity(up, now - self.capacity_sampled_at, is_saturated);
         self.capacity_sampled_at = now;
         let mut backlog: BTreeMap<TenantClassId, f64> = BTreeMap::new();
-        let mut filling: BTreeMap<TenantClassId, f64> = BTreeMap::new();
+        let mut best_effort_backlog: BTreeMap<TenantClassId, f64> = BTreeMap::new();
         for job in self
             .jobs
             .values()
             .filter(|j| !j.awaiting_dependencies && j.spec.kind != JobKind::Service)
         {
-            let est = self.expected_run_s(job);
-            // Placed tasks are taken to be half done on average.
+            let run_s = self.expected_run_s(job);
+            // Placed tasks are assumed to be half done on average.
             let tasks = f64::from(job.remaining_tasks()) + f64::from(job.placement_count) / 2.0;
-            let work = tasks * job.spec.cpus * est;
+            let work = tasks * job.spec.cpus * run_s;
             *backlog.entry(job.tenant_class).or_default() += work;
             if job.best_effort {
-                *filling.entry(job.tenant_class).or_default() += work;
+                *best_effort_backlog.entry(job.tenant_class).or_default() += work;
             }
         }
         let demand = self.fleet_demand();
-        let short = demand.first_pending.is_some()
-            && demand.all.wanted_cpus(limits::SPOT_BACKLOG_DRAIN_S) > up + coming;
-        let full = short
+        let lacks_cpus = demand.first_pending.is_some()
+            && demand.all.wanted_cpus(limits::SPOT_BACKLOG_DRAIN_S) > up + booting;
+        let cloud_full = lacks_cpus
             && (self.admission.at_capacity()
-                || now - self.autoscaler.grew_at() > bounds::CLOUD_FULL_AFTER_S);
+                || now - self.autoscaler.last_growth_at() > bounds::CLOUD_FULL_AFTER_S);
         let policy = &self.settings.policy.admission;
         let teams = self.settings.teams.iter();
         let medians = self.predictor.medians_s();
@@ -98,8 +98,9 @@
             .collect();
         medians.sort_by_key(|m| m.key_hash);
         ClusterView {
-            available_cpus: (up + coming - standing).max(1.0),
-            at_capacity: full && now - self.autoscaler.grew_at() > bounds::SCALE_OUT_MEMORY_S,
+            available_cpus: (up + booting - services).max(1.0),
+            at_capacity: cloud_full
+                && now - self.autoscaler.last_growth_at() > bounds::SCALE_OUT_MEMORY_S,
             teams: teams
                 .map(|t| TeamQuota {
                     name: t.name.clone(),
@@ -109,10 +110,10 @@
                 })
                 .collect(),
             backlog_cpu_s: backlog,
-            best_effort_backlog_cpu_s: filling,
+            best_effort_backlog_cpu_s: best_effort_backlog,
             completion_targets_s: self
                 .admission
-                .map_classes(|class| self.class_horizon_s(class)),
+                .map_classes(|class| self.class_completion_target_s(class)),
             jobs_per_s: self.store_limits.write_rps * bounds::STORE_CHANGES_FOR_JOBS_SHARE
                 / bounds::STORE_CHANGES_PER_JOB,
             refused_jobs: refused,
@@ -122,60 +123,64 @@
         }
     }
 
-    /// Tenant classes that got less than their share, the least served first.
+    /// Returns the tenant classes that got less than their share, the least served first.
     pub(super) fn under_served_classes(&self, now: f64) -> Vec<TenantClassId> {
         if !self.settings.policy.admission.floors {
             return Vec::new();
         }
-        let mut late: BTreeMap<TenantClassId, f64> = BTreeMap::new();
+        let mut overdue: BTreeMap<TenantClassId, f64> = BTreeMap::new();
         for job in self
             .jobs
             .values()
             .filter(|j| !j.awaiting_dependencies && j.remaining_tasks() > 0)
         {
-            if now - job.ready_at > self.lateness_threshold_s(job) && !job.is_suspect() {
-                *late.entry(job.tenant_class).or_default() += 1.0;
+            if now - job.ready_at > self.overdue_after_s(job) && !job.is_suspect() {
+                *overdue.entry(job.tenant_class).or_default() += 1.0;
             }
         }
-        let standing = self
+        let services = self
             .admission
             .class_statistics()
             .map(|(class, a)| ClassService {
                 class,
                 done: a.recent_done,
-                overdue: late.get(&class).copied().unwrap_or(0.0),
+                overdue: overdue.get(&class).copied().unwrap_or(0.0),
             });
-        under_served(standing.collect(), bounds::UNDER_SERVED_SHARE)
+        under_served(services.collect(), bounds::UNDER_SERVED_SHARE)
     }
 
-    /// s after which a job that isn't done counts as overdue. A job that runs for long may wait
-    /// for long, unless an objective says otherwise: without that, guests' tasks of 300 s were
-    /// placed before urgent ones because none of their jobs was done after 90 s.
-    fn lateness_threshold_s(&self, job: &Job) -> f64 {
-        let aimed = job
+    /// Returns the seconds after which a job that isn't done counts as overdue. A job with a long
+    /// run time may wait for long, unless an objective says otherwise: without this rule, guests'
+    /// tasks of 300 s were placed before urgent ones because none of their jobs was done after
+    /// 90 s.
+    fn overdue_after_s(&self, job: &Job) -> f64 {
+        let finish_objectives = job
             .objectives
             .iter()
-            .filter(|(aim, _)| *aim == ObjectiveKind::Finish);
-        let most = aimed.map(|(_, within_s)| *within_s).reduce(f64::max);
-        let time_s = match most {
-            Some(within_s) => horizon_or_default_s(within_s),
+            .filter(|(kind, _)| *kind == ObjectiveKind::Finish);
+        let longest_s = finish_objectives
+            .map(|(_, within_s)| *within_s)
+            .reduce(f64::max);
+        let time_s = match longest_s {
+            Some(within_s) => completion_target_or_default_s(within_s),
             None => {
-                horizon_or_default_s(0.0)
+                completion_target_or_default_s(0.0)
                     + bounds::UNCOVERED_CLASS_EXTRA_RUN_TIMES * self.expected_run_s(job)
             }
         };
         time_s * bounds::LATE_AFTER_HORIZON_SHARE
     }
 
-    /// s in which a job of the class should be done: its objective, or else a default.
-    fn class_horizon_s(&self, class: &str) -> f64 {
-        let aims = self.settings.objectives.iter();
-        let own = aims.filter(|o| o.class == class && o.kind == "finished");
-        horizon_or_default_s(own.map(|o| o.within_s).fold(0.0, f64::max))
+    /// Returns the seconds within which a job of the class should be done: the class's objective,
+    /// or else a default.
+    fn class_completion_target_s(&self, class: &str) -> f64 {
+        let objectives = self.settings.objectives.iter();
+        let of_class = objectives.filter(|o| o.class == class && o.kind == "finished");
+        completion_target_or_default_s(of_class.map(|o| o.within_s).fold(0.0, f64::max))
     }
 
-    /// For the log: what is short, and each tenant class's jobs offered, admitted, waiting
-    /// and done.
+    /// Returns a summary for the log: the scarce resource, and the jobs offered, admitted, waiting
+    /// and done of each tenant class.
     pub(super) fn admission_summary(&self) -> String {
         let mut waiting: BTreeMap<TenantClassId, usize> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| !j.awaiting_dependencies) {
@@ -213,8 +218,8 @@
     }
 }
 
-/// The bound of an objective, s; the default where there is none (0).
-fn horizon_or_default_s(within_s: f64) -> f64 {
+/// Returns the bound of an objective, s; the default if there is none (0).
+fn completion_target_or_default_s(within_s: f64) -> f64 {
     if within_s > 0.0 {
         within_s
     } else {
@@ -222,9 +227,9 @@
     }
 }
 
-/// Expected CPU seconds of a whole job, from the learned median of its key or, without
+/// Returns the expected CPU seconds of a whole job, from the learned median of its key or, without
 /// one, its owner's estimate.
-pub fn work(spec: &Submission, median: Option<f64>) -> f64 {
+fn expected_work(spec: &Submission, median: Option<f64>) -> f64 {
     let run_s = match spec.kind {
         JobKind::Service => bounds::SERVICE_TASK_WORK_S,
         _ => median.unwrap_or(spec.estimate_s).max(1.0),
@@ -232,11 +237,11 @@
     spec.cpus * f64::from(spec.tasks) * run_s
 }
 
-/// Expected CPU seconds of a whole job as other controllers compute it, from the medians in the
-/// admission table.
-pub fn work_by_table(table: &AdmissionTable, spec: &Submission) -> f64 {
+/// Returns the expected CPU seconds of a whole job as other controllers compute them, from the
+/// medians in the admission table.
+pub fn expected_work_from_table(table: &AdmissionTable, spec: &Submission) -> f64 {
     let key = stable_hash(&spec.predictor_key());
     let medians = &table.median_runtimes;
     let at = medians.binary_search_by_key(&key, |m| m.key_hash);
-    work(spec, at.ok().map(|at| f64::from(medians[at].median_s)))
+    expected_work(spec, at.ok().map(|at| f64::from(medians[at].median_s)))
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -242,7 +242,7 @@
 
     /// Returns the number of rule violations so far.
     pub fn violations(&self) -> usize {
-        lock(&self.core).checker.breaches.len()
+        lock(&self.core).checker.violations.len()
     }
 
     /// Calls a function with the history and the checker as they are now; for observers.
