--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,10 +1,11 @@
-//! What all emulated systems share: the scenario, its clock and chance, what users
-//! uploaded, progress kept outside machines, troubles now, and the history.
-
-use crate::fabric::{Delays, Fabric, Role, lock};
-use crate::machine::{Note, Sheet};
-use crate::proc::{Clocks, Medium, Proc};
-use cherrywood_checker::history::{Facts, Job, Off};
+//! State shared by all emulated systems: the scenario, the clock, the random streams, the
+//! jobs that users uploaded, task progress kept outside machines, active faults, and the
+//! history.
+
+use crate::machine::{MachineEvent, TaskSpec};
+use crate::network::{Delays, Network, Role, lock};
+use crate::process::{Clocks, Process, Transport};
+use cherrywood_checker::history::{Facts, Job};
 use cherrywood_checker::{Checker, History, What};
 use cherrywood_scenario::{Scenario, Trouble};
 use rand::{Rng, SeedableRng};
@@ -15,13 +16,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Where everybody is.
+/// Addresses of the emulated systems.
 #[derive(Debug, Clone)]
 pub struct Addresses {
-    /// Of each controller: for users and workers, and for the others.
+    /// Addresses of each controller: the one for users and workers, and the one for peers.
     pub nodes: Vec<(SocketAddr, SocketAddr)>,
-    /// The state service has an address for each controller, so that it can
-    /// tell them apart on loopback as well.
+    /// Addresses of the state service, one for each controller, so that it can tell the
+    /// controllers apart on loopback as well.
     pub state: Vec<SocketAddr>,
     pub cloud: SocketAddr,
 }
@@ -49,7 +50,7 @@
         }
     }
 
-    /// From this port on.
+    /// Consecutive ports on loopback, starting at `port`.
     pub fn loopback(nodes: u32, port: u16) -> Addresses {
         let at = |n: u32| SocketAddr::new(Ipv4Addr::LOCALHOST.into(), port + n as u16);
         Addresses {
@@ -62,35 +63,35 @@
     }
 }
 
-/// A job as its user knows it, and the truth about its tasks.
+/// A job as uploaded by its user, with the true run times of its tasks.
 #[derive(Debug, Clone)]
-pub struct Upload {
-    pub sheet: Sheet,
-    /// True run time of each task, s; empty for standing ones.
-    pub runs: Vec<f64>,
+pub struct UploadedJob {
+    pub spec: TaskSpec,
+    /// True run time of each task, s; empty for jobs that run until stopped.
+    pub run_times_s: Vec<f64>,
 }
 
 #[derive(Debug)]
 struct Core {
     history: History,
     checker: Checker,
-    uploads: BTreeMap<String, Upload>,
-    /// Progress of tasks that is kept outside machines, and whether they are
+    uploads: BTreeMap<String, UploadedJob>,
+    /// Progress of each task that is kept outside machines, s, and whether the task is
     /// finished.
     progress: BTreeMap<String, (f64, bool)>,
-    /// Of each job: tasks that are finished for good.
+    /// Number of permanently finished tasks, by job.
     finished: BTreeMap<String, u32>,
-    /// Jobs whose last task has just finished, until they are taken.
+    /// Jobs whose last task has finished and that `next_finished_jobs` has not returned yet.
     finished_jobs: Vec<String>,
-    active: Vec<(u64, Trouble)>,
-    next_trouble: u64,
-    /// Jobs whose users are not done with them.
-    open: u64,
-    /// Why it ends before everything is settled.
+    active_faults: Vec<(u64, Trouble)>,
+    next_fault_id: u64,
+    /// Number of jobs whose users still wait for an outcome.
+    open_jobs: u64,
+    /// Reason for ending the scenario before everything is settled.
     stopped: Option<String>,
 }
 
-/// Who leads, and the version of the leader key that says so.
+/// The leading controller, and the revision of the leader key that names it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leadership {
     pub label: String,
@@ -101,8 +102,8 @@
 pub struct World {
     pub scenario: Scenario,
     pub seed: u64,
-    pub medium: Medium,
-    pub fabric: Arc<Fabric>,
+    pub transport: Transport,
+    pub network: Arc<Network>,
     pub addresses: Addresses,
     pub start: Instant,
     core: Mutex<Core>,
@@ -112,7 +113,8 @@
 }
 
 impl World {
-    /// A scenario in virtual time, or on loopback from a port on.
+    /// Creates the world of a scenario: in virtual time, or on loopback ports starting at
+    /// `port`.
     pub fn new(scenario: Scenario, seed: u64, port: Option<u16>) -> Arc<World> {
         let n = &scenario.deployment.network;
         let delays = Delays {
@@ -121,11 +123,14 @@
             jitter: n.jitter,
             loss: n.loss,
         };
-        let fabric = Fabric::new(stream_seed(seed, "network"), delays);
+        let network = Network::new(stream_seed(seed, "network"), delays);
         let count = scenario.deployment.controllers;
-        let (medium, addresses) = match port {
-            None => (Medium::Fabric(fabric.clone()), Addresses::emulated(count)),
-            Some(port) => (Medium::Loopback, Addresses::loopback(count, port)),
+        let (transport, addresses) = match port {
+            None => (
+                Transport::Simulated(network.clone()),
+                Addresses::emulated(count),
+            ),
+            Some(port) => (Transport::Loopback, Addresses::loopback(count, port)),
         };
         let mut history = History::default();
         let mut checker = Checker::new();
@@ -144,8 +149,8 @@
         checker.feed(history.record(0, begins));
         Arc::new(World {
             seed,
-            medium,
-            fabric,
+            transport,
+            network,
             addresses,
             start: Instant::now(),
             core: Mutex::new(Core {
@@ -155,9 +160,9 @@
                 progress: BTreeMap::new(),
                 finished: BTreeMap::new(),
                 finished_jobs: Vec::new(),
-                active: Vec::new(),
-                next_trouble: 0,
-                open: 0,
+                active_faults: Vec::new(),
+                next_fault_id: 0,
+                open_jobs: 0,
                 stopped: None,
             }),
             leadership: Mutex::new(None),
@@ -167,7 +172,7 @@
         })
     }
 
-    /// s since the scenario began.
+    /// Returns the seconds since the scenario began.
     pub fn now_s(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
@@ -176,38 +181,38 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Chance of its own for each concern: a draw here shifts none there.
+    /// Returns the random stream of a concern; draws from one stream do not shift another.
     pub fn rng(&self, concern: &str) -> Pcg64 {
         Pcg64::seed_from_u64(stream_seed(self.seed, concern))
     }
 
-    /// A process on a host of the region (no zone) or of a zone.
-    pub fn proc(&self, name: &str, ip: IpAddr, role: Role, zone: Option<&str>) -> Arc<Proc> {
-        if matches!(self.medium, Medium::Fabric(_)) {
-            self.fabric.join(ip, role, zone);
+    /// Creates a process on a host in a zone, or in the region outside all zones (`None`).
+    pub fn process(&self, name: &str, ip: IpAddr, role: Role, zone: Option<&str>) -> Arc<Process> {
+        if matches!(self.transport, Transport::Simulated(_)) {
+            self.network.add_host(ip, role, zone);
         }
         let mut rng = self.rng(&format!("{name} at {}", self.now_ms()));
         let n = &self.scenario.deployment.node;
-        // On loopback all share the machine's clock.
-        let clocks = match self.medium {
-            Medium::Fabric(_) => Clocks {
+        // On loopback all processes share the machine's clock.
+        let clocks = match self.transport {
+            Transport::Simulated(_) => Clocks {
                 drift: rng.random::<f64>() * n.drift,
                 offset_s: (rng.random::<f64>() * 1000.0).floor(),
-                wall_off_ms: (rng.random::<f64>() * 2.0 - 1.0) * n.clock_off_ms,
+                wall_offset_ms: (rng.random::<f64>() * 2.0 - 1.0) * n.clock_off_ms,
             },
-            Medium::Loopback => Clocks::default(),
+            Transport::Loopback => Clocks::default(),
         };
         let seed = rng.random();
-        Proc::new(name, ip, self.medium.clone(), clocks, self.start, seed)
+        Process::new(name, ip, self.transport.clone(), clocks, self.start, seed)
     }
 
-    pub fn region(&self, name: &str, role: Role) -> Arc<Proc> {
+    pub fn region_process(&self, name: &str, role: Role) -> Arc<Process> {
         let ip = match role {
             Role::State => STATE,
             Role::Cloud => CLOUD,
             _ => USERS,
         };
-        self.proc(name, ip.into(), role, None)
+        self.process(name, ip.into(), role, None)
     }
 
     pub fn node_name(&self, node: usize) -> String {
@@ -229,31 +234,31 @@
         core.checker.feed(event);
     }
 
-    /// Takes the history, at the end.
+    /// Records the end of the scenario and returns its history.
     pub fn finish(&self) -> History {
         self.record(What::Ends);
         std::mem::take(&mut lock(&self.core).history)
     }
 
-    /// Rules broken so far.
-    pub fn broken(&self) -> usize {
+    /// Returns the number of rule violations so far.
+    pub fn violations(&self) -> usize {
         lock(&self.core).checker.violations.len()
     }
 
-    /// Calls with the events so far; for those who watch.
-    pub fn look<T>(&self, at: impl FnOnce(&History, &Checker) -> T) -> T {
+    /// Calls a function with the history and the checker as they are now; for observers.
+    pub fn inspect<T>(&self, read: impl FnOnce(&History, &Checker) -> T) -> T {
         let core = lock(&self.core);
-        at(&core.history, &core.checker)
+        read(&core.history, &core.checker)
     }
 
-    // --- troubles ---
+    // --- faults ---
 
-    pub fn begin(&self, trouble: &Trouble) -> u64 {
+    pub fn begin_fault(&self, trouble: &Trouble) -> u64 {
         let id = {
             let mut core = lock(&self.core);
-            let id = core.next_trouble;
-            core.next_trouble += 1;
-            core.active.push((id, trouble.clone()));
+            let id = core.next_fault_id;
+            core.next_fault_id += 1;
+            core.active_faults.push((id, trouble.clone()));
             id
         };
         let trouble = trouble.name().to_string();
@@ -261,11 +266,11 @@
         id
     }
 
-    pub fn end(&self, id: u64) {
+    pub fn end_fault(&self, id: u64) {
         let ended = {
             let mut core = lock(&self.core);
-            let at = core.active.iter().position(|(n, _)| *n == id);
-            at.map(|at| core.active.remove(at).1)
+            let at = core.active_faults.iter().position(|(n, _)| *n == id);
+            at.map(|at| core.active_faults.remove(at).1)
         };
         if let Some(trouble) = ended {
             let trouble = trouble.name().to_string();
@@ -273,72 +278,76 @@
         }
     }
 
-    /// What `of` makes of the troubles now.
-    pub fn now_in<T>(&self, of: impl Fn(&Trouble) -> Option<T>) -> Vec<T> {
+    /// Returns the values that `select` returns for the active faults.
+    pub fn active_faults<T>(&self, select: impl Fn(&Trouble) -> Option<T>) -> Vec<T> {
         let core = lock(&self.core);
-        core.active.iter().filter_map(|(_, t)| of(t)).collect()
+        core.active_faults
+            .iter()
+            .filter_map(|(_, t)| select(t))
+            .collect()
     }
 
     // --- jobs ---
 
-    /// Users upload what their job needs before they submit it.
-    pub fn upload(&self, upload: Upload, job: Job) {
+    /// Stores a job's definition, which its user uploads before submitting, and records the
+    /// submission.
+    pub fn upload(&self, upload: UploadedJob, job: Job) {
         lock(&self.core).uploads.insert(job.id.clone(), upload);
         self.submitted(job);
     }
 
-    /// A user is about to submit a job.
+    /// Records that a user is about to submit a job.
     pub fn submitted(&self, job: Job) {
-        lock(&self.core).open += 1;
+        lock(&self.core).open_jobs += 1;
         self.record(What::Submitted { job });
     }
 
-    /// A user is done with a job.
-    pub fn close(&self) {
+    /// Counts a job as closed: its user no longer waits for an outcome.
+    pub fn close_job(&self) {
         let mut core = lock(&self.core);
-        core.open = core.open.saturating_sub(1);
+        core.open_jobs = core.open_jobs.saturating_sub(1);
     }
 
     pub fn open_jobs(&self) -> u64 {
-        lock(&self.core).open
+        lock(&self.core).open_jobs
     }
 
-    pub fn sheet(&self, task: &str) -> Option<Sheet> {
+    pub fn task_spec(&self, task: &str) -> Option<TaskSpec> {
         let (job, n) = task.split_once('/')?;
         let n: u32 = n.parse().ok()?;
         let core = lock(&self.core);
-        let upload = core.uploads.get(job).filter(|u| n < u.sheet.tasks)?;
-        let mut sheet = upload.sheet.clone();
-        sheet.run_s = upload.runs.get(n as usize).copied();
+        let upload = core.uploads.get(job).filter(|u| n < u.spec.tasks)?;
+        let mut spec = upload.spec.clone();
+        spec.run_s = upload.run_times_s.get(n as usize).copied();
         if let Some((saved_s, finished)) = core.progress.get(task) {
-            (sheet.saved_s, sheet.finished) = (*saved_s, *finished);
+            (spec.saved_s, spec.finished) = (*saved_s, *finished);
         }
-        Some(sheet)
+        Some(spec)
     }
 
-    /// Records what happened on a machine.
-    pub fn note(&self, machine: &str, notes: Vec<Note>) {
-        for note in notes {
+    /// Records events of a machine in the history; saved progress is stored instead.
+    pub fn record_machine_events(&self, machine: &str, events: Vec<MachineEvent>) {
+        for event in events {
             let machine = machine.to_string();
-            let what = match note {
-                Note::Starts { task, attempt } => What::Starts {
+            let what = match event {
+                MachineEvent::Starts { task, attempt } => What::Starts {
                     machine,
                     task,
                     attempt,
                 },
-                Note::On { task, attempt } => What::On {
+                MachineEvent::On { task, attempt } => What::On {
                     machine,
                     task,
                     attempt,
                 },
-                Note::Stops { task } => What::Stops { machine, task },
-                Note::Dropped { task, attempt } => What::Dropped {
+                MachineEvent::Stops { task } => What::Stops { machine, task },
+                MachineEvent::Dropped { task, attempt } => What::Dropped {
                     machine,
                     task,
                     attempt,
                 },
-                Note::Notice => What::Notice { machine },
-                Note::Off {
+                MachineEvent::Notice => What::Notice { machine },
+                MachineEvent::Off {
                     task,
                     attempt,
                     why,
@@ -350,13 +359,13 @@
                     why,
                     kept_s,
                 },
-                Note::LeaseEnds => What::LeaseEnds { machine },
-                Note::Saved {
+                MachineEvent::LeaseEnds => What::LeaseEnds { machine },
+                MachineEvent::Saved {
                     task,
                     progress_s,
                     finished,
                 } => {
-                    self.keep(&task, progress_s, finished);
+                    self.save_progress(&task, progress_s, finished);
                     continue;
                 }
             };
@@ -364,8 +373,8 @@
         }
     }
 
-    /// Keeps a task's progress outside its machine.
-    fn keep(&self, task: &str, progress_s: f64, finished: bool) {
+    /// Stores a task's progress outside its machine.
+    fn save_progress(&self, task: &str, progress_s: f64, finished: bool) {
         let mut core = lock(&self.core);
         let kept = core.progress.entry(task.to_string()).or_default();
         let newly = finished && !kept.1;
@@ -376,15 +385,15 @@
         let done = core.finished.entry(job.to_string()).or_default();
         *done += 1;
         let done = *done;
-        let all = core.uploads.get(job).map(|u| u.sheet.tasks);
+        let all = core.uploads.get(job).map(|u| u.spec.tasks);
         if all == Some(done) {
             core.finished_jobs.push(job.to_string());
             self.job_finished.notify_one();
         }
     }
 
-    /// Waits until the last task of some job has finished; those jobs.
-    pub async fn next_finished(&self) -> Vec<String> {
+    /// Waits until the last task of at least one job has finished, and returns these jobs.
+    pub async fn next_finished_jobs(&self) -> Vec<String> {
         loop {
             let jobs = std::mem::take(&mut lock(&self.core).finished_jobs);
             if !jobs.is_empty() {
@@ -396,7 +405,7 @@
 
     // --- leadership ---
 
-    /// The state service says who leads now.
+    /// Sets the leadership that the state service's leader key now shows.
     pub fn set_leadership(&self, now: Option<Leadership>) {
         let was = std::mem::replace(&mut *lock(&self.leadership), now.clone());
         if was != now {
@@ -404,9 +413,9 @@
         }
     }
 
-    /// The controller that leads after the present one, once it does. Those who wait go on in
-    /// the order in which they came: tokio's `watch` wakes them in an order of its own chance,
-    /// which no seed replays.
+    /// Waits for a change of leadership and returns the new leader. Waiting tasks resume in
+    /// the order in which they began to wait; tokio's `watch` would wake them in an order of
+    /// its own randomness, which no seed replays.
     pub async fn next_leader(&self) -> Option<usize> {
         let before = lock(&self.leadership).clone();
         let label = loop {
@@ -433,6 +442,3 @@
 fn stream_seed(seed: u64, concern: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(concern.as_bytes(), seed)
 }
-
-/// What a task's end is called when its machine goes.
-pub(crate) const GONE: Off = Off::Gone;
