--- a/crates/emulator/src/jobs.rs
+++ b/crates/emulator/src/jobs.rs
@@ -1,7 +1,7 @@
-//! What users order: jobs drawn from the scenario's classes.
+//! Jobs that users submit, drawn from the scenario's classes.
 
-use crate::machine::Sheet;
-use crate::world::{Upload, World};
+use crate::machine::TaskSpec;
+use crate::world::{UploadedJob, World};
 use cherrywood_checker::history::Job;
 use cherrywood_scenario::workload::{Class, JobKind, Rank, Spread};
 use cherrywood_wire::user::{self, MAX_TASKS, Priority, Submission};
@@ -9,40 +9,41 @@
 use rand_distr::StandardNormal;
 use rand_pcg::Pcg64;
 
-/// Standard deviations that 95 of 100 values lie below.
+/// Number of standard deviations that 95 of 100 values of a normal distribution lie below.
 const SD_95: f64 = 1.645;
 /// Spread of the run times of one job's tasks around the job's own.
-const TASKS_VARY: f64 = 0.25;
-/// Share of the jobs that can't run which ask for each impossible thing.
-const UNKNOWN_TEAM: f64 = 0.4;
-const TOO_LARGE: f64 = 0.7;
+const TASK_RUN_TIME_SIGMA: f64 = 0.25;
+/// Cumulative shares, among the jobs that cannot run, of an unknown team and of too many
+/// CPUs; the others ask for an unknown machine type.
+const UNKNOWN_TEAM_SHARE: f64 = 0.4;
+const TOO_LARGE_SHARE: f64 = 0.7;
 
-/// A job to be submitted, and what its user will do.
+/// A job to be submitted, and its user's later actions.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct PlannedJob {
     pub submission: Submission,
-    pub upload: Upload,
+    pub upload: UploadedJob,
     pub job: Job,
-    /// s after acceptance at which its user cancels it.
+    /// Seconds after acceptance at which the user cancels the job.
     pub cancel_after_s: Option<f64>,
-    /// Runs until then, or until the end of play.
-    pub job_stands: bool,
-    pub repeats: bool,
+    /// The job runs until it is cancelled, or until the end of play.
+    pub runs_until_cancelled: bool,
+    pub resubmits: bool,
 }
 
-/// s after acceptance in which a user who cancels does so.
+/// Range of the time after acceptance at which a user who cancels does so, s.
 const CANCEL_AFTER_S: (f64, f64) = (5.0, 60.0);
-/// s after which the user of a job with a mistake gives it up.
+/// Range of the time after which the user of a job with a mistake cancels it, s.
 const MISTAKE_AFTER_S: (f64, f64) = (60.0, 120.0);
 
-/// Where the jobs of one class come from.
+/// Generator of the jobs of one class.
 #[derive(Debug)]
-pub struct Shop {
+pub struct JobGenerator {
     rng: Pcg64,
     class: usize,
-    /// Name, GB, and how often each image is used, summed up.
+    /// Name, size in GB, and cumulative weight of each image.
     images: Vec<(String, f64, f64)>,
-    /// Numbers of its jobs, in no order; all shops share them out.
+    /// Job numbers in no particular order; the generators divide them among themselves.
     next: u32,
     step: u32,
     slot: u32,
@@ -55,20 +56,20 @@
     value.min(s.most.unwrap_or(f64::INFINITY))
 }
 
-/// Like a measured amount: no more digits than anybody would write.
+/// Rounds to two decimals, as a user would write a measured amount.
 fn round(v: f64) -> f64 {
     (v * 100.0).round() / 100.0
 }
 
-/// Job numbers, and steps that visit all of them: primes, which have no divisor in common
-/// with their count.
-const NUMBERS: u32 = 1_000_000;
+/// Count of job numbers, and steps that visit all of them: primes, which have no divisor in
+/// common with the count.
+const JOB_NUMBERS: u32 = 1_000_000;
 const STEPS: [u32; 4] = [104_729, 224_737, 350_377, 479_909];
 
-impl Shop {
-    /// Of each class, and of each class of each pipeline: what one draws shifts nothing
-    /// in another.
-    pub fn all(world: &World) -> (Vec<Shop>, Vec<Vec<Shop>>) {
+impl JobGenerator {
+    /// Creates the generators of each class, and of each stage of each pipeline; draws from
+    /// one do not shift another.
+    pub fn all(world: &World) -> (Vec<JobGenerator>, Vec<Vec<JobGenerator>>) {
         let w = &world.scenario.workload;
         let number = |name: &str| w.classes.iter().position(|c| c.name == name);
         let mut slots = w.classes.len();
@@ -95,11 +96,11 @@
                 (format!("img-{}-{i}", c.name), gb, sum)
             });
             let images = images.collect();
-            Shop {
+            JobGenerator {
                 class,
                 slot: slot as u32,
                 images,
-                next: rng.random_range(0..NUMBERS / slots as u32),
+                next: rng.random_range(0..JOB_NUMBERS / slots as u32),
                 step: STEPS[rng.random_range(0..STEPS.len())],
                 slots: slots as u32,
                 rng,
@@ -116,9 +117,9 @@
         (classes.collect(), pipelines.collect())
     }
 
-    /// Ids are unique, and come in no order.
+    /// Returns the next job id; ids are unique, in no particular order.
     fn id(&mut self) -> String {
-        let own = NUMBERS / self.slots;
+        let own = JOB_NUMBERS / self.slots;
         self.next = (self.next + self.step) % own;
         format!("wk-{:06}", self.next * self.slots + self.slot)
     }
@@ -139,7 +140,7 @@
         teams[teams.len() - 1].name.clone()
     }
 
-    pub fn order(&mut self, world: &World) -> Order {
+    pub fn next_job(&mut self, world: &World) -> PlannedJob {
         let c = &world.scenario.workload.classes[self.class];
         let w = &world.scenario.workload;
         let id = self.id();
@@ -154,9 +155,9 @@
         let tasks = (draw(rng, &c.tasks).round().max(1.0) as u32).min(MAX_TASKS);
         let run = draw(rng, &c.run_s);
         let limit = c.run_s.most.unwrap_or(f64::INFINITY);
-        let runs: Vec<f64> = (0..if standing { 0 } else { tasks })
+        let run_times_s: Vec<f64> = (0..if standing { 0 } else { tasks })
             .map(|_| {
-                let by = libm::exp(TASKS_VARY * rng.sample::<f64, _>(StandardNormal));
+                let by = libm::exp(TASK_RUN_TIME_SIGMA * rng.sample::<f64, _>(StandardNormal));
                 (run * by).clamp(0.1, limit)
             })
             .collect();
@@ -179,7 +180,7 @@
             (_, _, true) => Some(soon),
             _ => None,
         };
-        let repeats = chance(rng, w.repeats);
+        let resubmits = chance(rng, w.repeats);
         let impossible = chance(rng, w.impossible);
         let kind: f64 = rng.random();
         let mut submission = Submission {
@@ -214,15 +215,15 @@
             deadline_s: None,
             dependencies: Vec::new(),
         };
-        if impossible && kind < UNKNOWN_TEAM {
+        if impossible && kind < UNKNOWN_TEAM_SHARE {
             submission.team = "nobody".into();
-        } else if impossible && kind < TOO_LARGE {
+        } else if impossible && kind < TOO_LARGE_SHARE {
             submission.cpus = 1.0e6;
         } else if impossible {
             submission.machine_types = Some(vec!["no-such-type".into()]);
         }
-        let job = as_recorded(&submission);
-        let sheet = Sheet {
+        let job = history_job(&submission);
+        let spec = TaskSpec {
             job: id,
             tasks,
             cpus: submission.cpus,
@@ -237,19 +238,19 @@
             saved_s: 0.0,
             finished: false,
         };
-        Order {
+        PlannedJob {
             submission,
-            upload: Upload { sheet, runs },
+            upload: UploadedJob { spec, run_times_s },
             job,
             cancel_after_s,
-            job_stands: standing,
-            repeats,
+            runs_until_cancelled: standing,
+            resubmits,
         }
     }
 }
 
-/// The submission as the history has it.
-pub(crate) fn as_recorded(submission: &Submission) -> Job {
+/// Converts a submission to its form in the history.
+pub(crate) fn history_job(submission: &Submission) -> Job {
     Job {
         id: submission.id.clone(),
         class: submission.class.clone(),
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state_service.rs
@@ -1,9 +1,9 @@
-//! The state service, with its troubles: outages for all or for one controller,
-//! slowness, falling behind, answers lost before, after or long before the
-//! request is executed.
+//! The emulated state service, with its faults: outages for all controllers or for one,
+//! slowness, reduced rates, and responses lost before, after or long before the request is
+//! executed.
 
-use crate::fabric::{Role, lock};
-use crate::proc::Proc;
+use crate::network::{Role, lock};
+use crate::process::Process;
 use crate::world::{Leadership, World};
 use cherrywood_net::Runtime;
 use cherrywood_net::server::{self, Request, Response};
@@ -18,32 +18,32 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
-/// ms that a slow answer takes: "now and then a few hundred".
+/// Additional delay of a slow response, ms.
 const SLOW_MS: (f64, f64) = (100.0, 400.0);
-/// s by which the end of a lease may be late.
+/// Most seconds by which a lease expiry may be late.
 const LEASE_LATE_S: f64 = 0.1;
-/// s after which a connection whose answer was lost is closed.
+/// Seconds after which a connection whose response was lost is closed.
 const LOST_S: f64 = 30.0;
-/// s after which a late transaction is executed.
+/// Range of the time after which a late transaction is executed, s.
 const LATE_WRITE_S: (f64, f64) = (2.0, 12.0);
-/// Connections from one controller.
+/// Most connections from one controller.
 const CONNECTIONS: usize = 10_000;
 
-pub struct StateHost {
+pub struct StateService {
     world: Arc<World>,
     host: Runtime,
     service: Mutex<StoreService>,
     rng: Mutex<Pcg64>,
-    /// Something changed, or an outage ended.
+    /// Notified when the store changed or an outage ended.
     changed: Notify,
-    /// Controllers that it refuses alone, by trouble.
+    /// Refused controllers, by fault id.
     refused: Mutex<Vec<(u64, Vec<usize>)>>,
-    proc: Arc<Proc>,
+    proc: Arc<Process>,
 }
 
-impl StateHost {
-    pub async fn start(world: &Arc<World>) -> io::Result<Arc<StateHost>> {
-        let proc = world.region("state", Role::State);
+impl StateService {
+    pub async fn start(world: &Arc<World>) -> io::Result<Arc<StateService>> {
+        let proc = world.region_process("state", Role::State);
         let s = &world.scenario.deployment.state;
         let allowed = ServiceLimits {
             rps: s.rps,
@@ -51,7 +51,7 @@
             value_kb: s.value_kb,
             txn_ops: s.txn_ops,
         };
-        let me = Arc::new(StateHost {
+        let me = Arc::new(StateService {
             world: world.clone(),
             host: proc.host(),
             service: Mutex::new(StoreService::new(allowed)),
@@ -61,11 +61,11 @@
             proc,
         });
         for (node, at) in world.addresses.state.iter().enumerate() {
-            let listener = me.host.bind(*at).await.map_err(|e| named(*at, &e))?;
+            let listener = me.host.bind(*at).await.map_err(|e| with_address(*at, &e))?;
             let own = me.clone();
             let on_request = Arc::new(move |request, _: SocketAddr| {
                 let own = own.clone();
-                async move { own.answer(node, request).await }
+                async move { own.respond(node, request).await }
             });
             let serve = server::serve(me.host.clone(), listener, CONNECTIONS, on_request);
             me.host.spawn(serve);
@@ -75,28 +75,28 @@
         Ok(me)
     }
 
-    pub fn proc(&self) -> &Proc {
+    pub fn proc(&self) -> &Process {
         &self.proc
     }
 
-    /// The controller that holds the leader key.
+    /// Returns the label of the controller that holds the leader key.
     pub fn leader(&self) -> Option<String> {
         leadership(&lock(&self.service)).map(|l| l.label)
     }
 
-    /// Something was written, or a lease has ended.
-    fn changed(&self, service: &StoreService) {
+    /// Publishes a change of the store: a write, or a lease expiry.
+    fn publish_change(&self, service: &StoreService) {
         self.world.set_leadership(leadership(service));
         self.changed.notify_waiters();
     }
 
-    /// Keys, and bytes of their values.
+    /// Returns the number of keys and the bytes of their values.
     pub fn size(&self) -> (usize, usize) {
         let size = lock(&self.service).store.size();
         (size.keys, size.value_bytes)
     }
 
-    /// Requests it answered with 429.
+    /// Returns the number of requests answered with 429.
     pub fn over_rate(&self) -> u64 {
         lock(&self.service).requests_over_rate
     }
@@ -110,31 +110,35 @@
         self.changed.notify_waiters();
     }
 
-    fn down(&self) -> bool {
+    fn is_down(&self) -> bool {
         let down = |t: &Trouble| matches!(t, Trouble::StateOutage(_)).then_some(());
-        !self.world.now_in(down).is_empty()
+        !self.world.active_faults(down).is_empty()
     }
 
-    /// After an outage every lease has its full time again.
-    pub fn recovered(&self) {
-        if !self.down() {
+    /// Restarts every lease with its full time once no outage is left.
+    pub fn end_outage(&self) {
+        if !self.is_down() {
             lock(&self.service).store.renew_all_leases(self.host.now());
             self.changed.notify_waiters();
         }
     }
 
-    /// Sets its rates to this share, while it falls behind.
-    pub fn set_share(&self) {
+    /// Scales the service's rates to the least share that active faults set.
+    pub fn update_rate_share(&self) {
         let behind = |t: &Trouble| match t {
             Trouble::StateBehind(t) => Some(t.share),
             _ => None,
         };
-        let share = self.world.now_in(behind).into_iter().fold(1.0, f64::min);
+        let share = self
+            .world
+            .active_faults(behind)
+            .into_iter()
+            .fold(1.0, f64::min);
         lock(&self.service).set_share(share);
     }
 
-    /// It has its next limits from now on.
-    pub fn next_limits(&self) {
+    /// Applies the scenario's next limits from now on.
+    pub fn apply_next_limits(&self) {
         let s = &self.world.scenario.deployment.state;
         let next = s.next.unwrap_or_default();
         lock(&self.service).set_limits(ServiceLimits {
@@ -145,15 +149,15 @@
         });
     }
 
-    fn turns_away(&self, node: usize) -> bool {
-        self.down() || lock(&self.refused).iter().any(|(_, n)| n.contains(&node))
+    fn refuses(&self, node: usize) -> bool {
+        self.is_down() || lock(&self.refused).iter().any(|(_, n)| n.contains(&node))
     }
 
     fn chance(&self) -> f64 {
         lock(&self.rng).random()
     }
 
-    /// s that this request takes, before and after it is executed.
+    /// Draws the latency of a request, s; half of it passes before and half after execution.
     fn latency(&self) -> f64 {
         let s = &self.world.scenario.deployment.state;
         let mut ms = s.latency_ms * (0.5 + self.chance());
@@ -164,7 +168,7 @@
             Trouble::StateSlow(t) => Some((t.share, t.ms)),
             _ => None,
         };
-        for (share, extra) in self.world.now_in(slow) {
+        for (share, extra) in self.world.active_faults(slow) {
             if self.chance() < share {
                 ms += extra * (0.5 + self.chance());
             }
@@ -172,18 +176,19 @@
         ms / 1000.0
     }
 
-    fn loses(&self) -> Option<(Lost, f64)> {
+    fn draw_loss(&self) -> Option<(Lost, f64)> {
         let loses = |t: &Trouble| match t {
             Trouble::StateLoses(t) => Some((t.share, t.when, t.late_s)),
             _ => None,
         };
-        let all = self.world.now_in(loses);
+        let all = self.world.active_faults(loses);
         let hit = all.into_iter().find(|(share, ..)| self.chance() < *share);
         hit.map(|(_, when, late_s)| (when, late_s))
     }
 
-    /// How the answer to this transaction is lost, if it is, and s by which it is late.
-    fn late(&self, request: &Request) -> Option<(Lost, f64)> {
+    /// Draws how the response to this transaction is lost, if at all, and the seconds by
+    /// which the execution is late.
+    fn draw_late_write(&self, request: &Request) -> Option<(Lost, f64)> {
         if request.path != "/txn" {
             return None;
         }
@@ -191,7 +196,7 @@
             Trouble::LateWrites(t) => Some((t.share, t.at_once)),
             _ => None,
         };
-        let all = self.world.now_in(late);
+        let all = self.world.active_faults(late);
         let hit = all.into_iter().find(|(share, _)| self.chance() < *share);
         hit.map(|(_, at_once)| match at_once {
             true => (Lost::After, 0.0),
@@ -202,22 +207,22 @@
         })
     }
 
-    /// Are watches left waiting?
-    fn lags(&self) -> bool {
+    /// Whether a fault leaves watches waiting.
+    fn has_watch_lag(&self) -> bool {
         let lag = |t: &Trouble| matches!(t, Trouble::WatchLag(_)).then_some(());
-        !self.world.now_in(lag).is_empty()
+        !self.world.active_faults(lag).is_empty()
     }
 
-    async fn answer(self: &Arc<Self>, node: usize, request: Request) -> Response {
-        if self.turns_away(node) {
+    async fn respond(self: &Arc<Self>, node: usize, request: Request) -> Response {
+        if self.refuses(node) {
             return Response::empty(503);
         }
         let s = self.latency();
         self.host.sleep(s / 2.0).await;
-        if self.turns_away(node) {
+        if self.refuses(node) {
             return Response::empty(503);
         }
-        let lost = self.late(&request).or_else(|| self.loses());
+        let lost = self.draw_late_write(&request).or_else(|| self.draw_loss());
         match lost {
             None => {}
             Some((when, late_s)) => {
@@ -228,7 +233,7 @@
                         let own = self.clone();
                         self.host.spawn(async move {
                             own.host.sleep(late_s).await;
-                            while own.down() {
+                            while own.is_down() {
                                 own.host.sleep(LEASE_LATE_S).await;
                             }
                             drop(own.execute(&request));
@@ -242,15 +247,15 @@
                 };
             }
         }
-        while request.path.starts_with("/watch") && self.lags() {
+        while request.path.starts_with("/watch") && self.has_watch_lag() {
             self.host.sleep(LEASE_LATE_S).await;
         }
-        let answer = match self.execute(&request) {
-            ServiceReply::Respond(answer) => answer,
-            ServiceReply::HoldWatch(watch) => self.hold(node, &watch).await,
+        let response = match self.execute(&request) {
+            ServiceReply::Respond(response) => response,
+            ServiceReply::HoldWatch(watch) => self.hold_watch(node, &watch).await,
         };
         self.host.sleep(s / 2.0).await;
-        answer
+        response
     }
 
     fn execute(&self, request: &Request) -> ServiceReply {
@@ -258,20 +263,20 @@
         let before = service.store.revision();
         let reply = service.handle(request, self.host.now());
         if service.store.revision() != before {
-            self.changed(&service);
+            self.publish_change(&service);
         }
         reply
     }
 
-    /// A watch stays open during an outage, and while its node is refused.
-    async fn hold(&self, node: usize, watch: &HeldWatch) -> Response {
+    /// Holds a watch; it stays open during an outage and while its controller is refused.
+    async fn hold_watch(&self, node: usize, watch: &HeldWatch) -> Response {
         let until = self.host.now() + watch.hold_ms as f64 / 1000.0;
         loop {
             let changed = self.changed.notified();
-            let away = self.turns_away(node) || self.lags();
+            let away = self.refuses(node) || self.has_watch_lag();
             let over = self.host.now() >= until;
-            if !away && let Some(answer) = lock(&self.service).resume_watch(watch, over) {
-                return answer;
+            if !away && let Some(response) = lock(&self.service).resume_watch(watch, over) {
+                return response;
             }
             let left = if away {
                 LEASE_LATE_S
@@ -282,7 +287,7 @@
         }
     }
 
-    /// Leases that are not renewed end, up to 100 ms late and never early.
+    /// Expires leases that are not renewed, up to 100 ms late and never early.
     async fn end_leases(&self) {
         loop {
             let next = lock(&self.service).store.next_lease_expiry();
@@ -291,18 +296,18 @@
                 (at - now).max(0.0) + self.chance() * LEASE_LATE_S
             });
             self.host.sleep(wait.clamp(0.001, LEASE_LATE_S)).await;
-            if self.down() {
+            if self.is_down() {
                 continue;
             }
             let mut service = lock(&self.service);
             if service.store.expire_leases(self.host.now()) > 0 {
-                self.changed(&service);
+                self.publish_change(&service);
             }
         }
     }
 }
 
-/// What the leader key says.
+/// Returns the leadership recorded in the leader key.
 fn leadership(service: &StoreService) -> Option<Leadership> {
     let item = service.store.get("L/leader")?;
     let fields = item.value.as_map()?;
@@ -313,12 +318,17 @@
     })
 }
 
-pub(crate) fn named(at: SocketAddr, e: &io::Error) -> io::Error {
+pub(crate) fn with_address(at: SocketAddr, e: &io::Error) -> io::Error {
     io::Error::new(e.kind(), format!("{at}: {e}"))
 }
 
-/// The controllers that a trouble hits, of those that are there.
-pub(crate) fn who(who: Who, leader: Option<usize>, nodes: usize, rng: &mut Pcg64) -> Vec<usize> {
+/// Draws the controllers that a fault hits.
+pub(crate) fn draw_controllers(
+    who: Who,
+    leader: Option<usize>,
+    nodes: usize,
+    rng: &mut Pcg64,
+) -> Vec<usize> {
     let drawn = rng.random_range(0..nodes.max(1));
     match who {
         Who::All => (0..nodes).collect(),
--- a/crates/net/tests/cloud.rs
+++ b/crates/net/tests/cloud.rs
@@ -1,4 +1,4 @@
-//! What the cloud's responses are taken for.
+//! Interpretation of the cloud's responses.
 
 mod common;
 
@@ -16,25 +16,26 @@
     SocketAddr::from(([10, 2, 0, 2], 8443))
 }
 
-/// A cloud that sends these bytes as its response to one request.
-fn cloud_responding(host: &Runtime, response: &'static [u8]) -> CloudClient {
-    let listener = host.clone();
+/// Starts a cloud that sends these bytes as its response to one request; returns a client of
+/// it.
+fn cloud_responding(runtime: &Runtime, response: &'static [u8]) -> CloudClient {
+    let server_runtime = runtime.clone();
     tokio::spawn(async move {
-        let mut listener = listener.bind(cloud_address()).await.unwrap();
+        let mut listener = server_runtime.bind(cloud_address()).await.unwrap();
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut request = [0; 1024];
         let read = stream.read(&mut request).await.unwrap();
         assert!(read > 0);
         stream.write_all(response).await.unwrap();
     });
-    CloudClient::new(host, cloud_address(), REQUESTS_PER_S)
+    CloudClient::new(runtime, cloud_address(), REQUESTS_PER_S)
 }
 
-/// What becomes of a deletion to which the cloud responds so.
+/// Returns the result of a deletion to which the cloud responds with these bytes.
 fn deletion_result(response: &'static [u8]) -> Result<(), NetError> {
     let (sender, receiver) = std::sync::mpsc::channel();
-    run(|host| async move {
-        let cloud = cloud_responding(&host, response);
+    run(|runtime| async move {
+        let cloud = cloud_responding(&runtime, response);
         sleep(CONNECT).await;
         let result = cloud.delete_machines(&["vm-000001".to_owned()]).await;
         sender.send(result).unwrap();
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn a_response_whose_status_is_unknown_proves_no_deletion() {
+fn a_response_that_is_not_acceptable_http_proves_no_deletion() {
     for response in [
         &b"no HTTP at all\r\n\r\n"[..],
         &b"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"[..],
