--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -1,10 +1,10 @@
-//! `cherrywood simulate`, and `cherrywood schema`.
+//! The commands `cherrywood simulate`, `cherrywood experiment` and `cherrywood schema`.
 
 use crate::exit::{BAD_INPUT, BROKEN, GOOD};
 use crate::experiment::{self, Experiment, compare};
-use crate::live::Live;
+use crate::live::TerminalView;
 use crate::log::Log;
-use crate::play::{Options, Scene, play};
+use crate::run::{Options, RunView, run};
 use crate::search::search;
 use crate::{report, summary};
 use cherrywood_node::settings::Settings;
@@ -17,31 +17,31 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tracing::Level;
 
-/// The scenario that is played if none is named.
-pub const QUIET: &str = include_str!("../../../scenarios/quiet.yaml");
+/// The scenario that is run if none is named.
+pub const DEFAULT_SCENARIO: &str = include_str!("../../../scenarios/quiet.yaml");
 
-/// Play a scenario: the whole service on this machine, troubles included.
+/// Simulate a scenario: the whole service on this machine, with injected faults.
 #[derive(Debug, Args)]
 pub struct SimulateArgs {
-    /// The scenario (YAML); a quiet one if it isn't given.
+    /// Scenario file (YAML). Default: the built-in scenario `quiet`.
     pub scenario: Option<PathBuf>,
-    /// Draws everything; the same seed replays the same scenario. That of the file, or 1,
-    /// if it isn't given.
+    /// Seed of all random draws: the same seed replays the same scenario. Default: the seed
+    /// in the file, or 1.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Write report.html, report.json, history.jsonl and controllers.log here.
+    /// Write report.html, report.json, history.jsonl and controllers.log to this directory.
     #[arg(long, value_name = "DIR")]
     pub report: Option<PathBuf>,
-    /// Machines, teams and traffic times this.
+    /// Multiply machines, teams and traffic by this factor.
     #[arg(long, default_value_t = 1.0, value_name = "TIMES")]
     pub scale: f64,
-    /// Play only so many seconds of it, with the troubles in them.
+    /// Run only the first seconds of the scenario, with the faults in them.
     #[arg(long, value_name = "S")]
     pub play: Option<f64>,
     /// Run the controllers as processes on loopback, in real time.
     #[arg(long, conflicts_with = "live")]
     pub processes: bool,
-    /// First port on loopback of a scenario with processes.
+    /// First port on loopback for --processes.
     #[arg(
         long,
         default_value_t = 21_000,
@@ -49,22 +49,23 @@
         requires = "processes"
     )]
     pub port: u16,
-    /// Watch it on the terminal: pause, single steps, speed.
+    /// Show the run on the terminal, with pause, single steps and a choice of speed.
     #[arg(long, conflicts_with_all = ["log"])]
     pub live: bool,
-    /// The operators' own settings (YAML).
+    /// Operator settings file (YAML).
     #[arg(long, value_name = "FILE")]
     pub operator: Option<PathBuf>,
-    /// Play so many seeds on all cores, from --seed on, and say what was not good.
+    /// Run this many seeds on all cores, from --seed on, and report those that fail.
     #[arg(long, value_name = "N", conflicts_with_all = ["report", "live", "processes", "trace", "log"])]
     pub search: Option<u64>,
-    /// Write the smallest scenario that fails in the same way, of each that fails, here.
+    /// For each seed that fails, write the smallest scenario that fails in the same way to
+    /// this directory.
     #[arg(long, value_name = "DIR", requires = "search")]
     pub shrink: Option<PathBuf>,
-    /// Print the life of one job across all controllers.
+    /// Print the events of one job across all controllers.
     #[arg(long, value_name = "ID")]
     pub trace: Option<String>,
-    /// Print what the controllers log.
+    /// Print the log of the controllers, up to this level.
     #[arg(long, value_name = "LEVEL")]
     pub log: Option<LogLevel>,
 }
@@ -88,19 +89,21 @@
     }
 }
 
-/// Set by ctrl-C; a scenario then ends with the report of what was played.
-pub fn interrupted() -> Arc<AtomicBool> {
+/// Installs a handler of Ctrl-C and returns the flag that it sets. The run then ends with a
+/// report of the part that was run.
+pub fn interrupt_flag() -> Arc<AtomicBool> {
     let flag = Arc::new(AtomicBool::new(false));
     let set = flag.clone();
-    // A second handler in one process is refused: then the first one stays.
+    // A process can have only one handler: a second one is refused and the first stays.
     let _ = ctrlc::set_handler(move || set.store(true, Ordering::Relaxed));
     flag
 }
 
+/// Reads the scenario and the options of a run, and applies the arguments.
 pub fn load(args: &SimulateArgs) -> anyhow::Result<(Scenario, Options)> {
     let scenario = match &args.scenario {
         Some(path) => Scenario::load(path)?,
-        None => Scenario::parse("the built-in scenario", QUIET)?,
+        None => Scenario::parse("the built-in scenario", DEFAULT_SCENARIO)?,
     };
     if !(args.scale.is_finite() && (0.01..=1000.0).contains(&args.scale)) {
         anyhow::bail!("--scale: 0.01 to 1000 is allowed, found {}", args.scale);
@@ -123,18 +126,19 @@
     }
     if options.processes.is_some() {
         let drawn = scenario.clone().with_draws(options.seed);
-        let out = drawn
+        let omitted = drawn
             .troubles
             .iter()
             .filter(|t| !t.on_loopback())
             .map(|t| t.name());
-        for name in out.collect::<std::collections::BTreeSet<_>>() {
-            eprintln!("cherrywood: {name} can't be made with processes, and is left out");
+        for name in omitted.collect::<std::collections::BTreeSet<_>>() {
+            eprintln!("cherrywood: {name} cannot be injected with --processes and is left out");
         }
     }
     Ok((scenario, options))
 }
 
+/// Runs `cherrywood simulate` and returns its exit code.
 pub fn simulate(args: &SimulateArgs) -> u8 {
     let prepared = load(args).and_then(|loaded| {
         if let Some(dir) = &args.report {
@@ -149,58 +153,58 @@
             return BAD_INPUT;
         }
     };
-    let stop = interrupted();
+    let stop = interrupt_flag();
     if let Some(seeds) = args.search {
         return search(&scenario, &options, seeds, args.shrink.as_deref(), &stop);
     }
     let bar = ProgressBar::new(scenario.play_s as u64);
-    if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} s of play  {msg}") {
+    if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} s simulated  {msg}") {
         bar.set_style(style);
     }
     let level = args.log.map_or(Level::INFO, LogLevel::level);
     let log = Log::new(level, args.trace.clone(), args.log.is_some());
     let play_s = scenario.play_s;
-    let mut live = match args.live.then(Live::new).transpose() {
-        Ok(live) => live,
+    let mut terminal = match args.live.then(TerminalView::new).transpose() {
+        Ok(terminal) => terminal,
         Err(e) => {
             eprintln!("cherrywood: --live needs a terminal: {e}");
             return BAD_INPUT;
         }
     };
-    if live.is_some() {
+    if terminal.is_some() {
         bar.set_draw_target(ProgressDrawTarget::hidden());
     }
-    let mut watch = |scene: &Scene| {
-        if let Some(live) = &mut live {
-            live.look(scene)?;
+    let mut observer = |view: &RunView| {
+        if let Some(terminal) = &mut terminal {
+            terminal.update(view)?;
         }
-        let now = scene.world.now_s();
+        let now = view.world.now_s();
         bar.set_position(now.min(play_s) as u64);
         if now >= play_s {
-            bar.set_message(format!("{} jobs to settle", scene.world.open_jobs()));
+            bar.set_message(format!("{} jobs to settle", view.world.open_jobs()));
         }
         if stop.load(Ordering::Relaxed) {
             return Err(format!("interrupted at {now:.0} s of {play_s:.0} s"));
         }
         Ok(())
     };
-    let played = log.around(|| play(scenario, &options, &log, &mut watch));
+    let result = log.capture(|| run(scenario, &options, &log, &mut observer));
     bar.finish_and_clear();
-    drop(live);
-    let outcome = match played {
+    drop(terminal);
+    let outcome = match result {
         Ok(outcome) => outcome,
         Err(e) => {
             eprintln!("cherrywood: {e:#}");
             return BAD_INPUT;
         }
     };
-    for line in log.life(&outcome.history) {
+    for line in log.job_trace(&outcome.history) {
         println!("{line}");
     }
     if let Some(id) = &args.trace
         && !outcome.settled.contains_key(id)
     {
-        eprintln!("cherrywood: --trace: no job {id} on this scenario");
+        eprintln!("cherrywood: --trace: no job {id} in this scenario");
     }
     print!("{}", summary::text(&outcome));
     if let Some(dir) = &args.report {
@@ -211,22 +215,24 @@
         println!("report    {}", dir.join("report.html").display());
     }
     println!("{}", summary::verdict(&outcome));
-    if outcome.good() { GOOD } else { BROKEN }
+    if outcome.is_good() { GOOD } else { BROKEN }
 }
 
-/// Play the same scenarios under different settings, and compare them in pairs.
+/// Run the same scenarios under different settings, and compare them in pairs.
 #[derive(Debug, Args)]
 pub struct ExperimentArgs {
-    /// The experiment (YAML).
+    /// Experiment file (YAML).
     pub file: PathBuf,
-    /// Where cells, comparisons and the report go; finished cells are kept.
+    /// Directory of cells, comparisons and the report. Finished cells are not run again.
+    /// Default: the name of the experiment with -experiment appended.
     #[arg(long, value_name = "DIR")]
     pub out: Option<PathBuf>,
-    /// Seeds 1 to this, whatever the file says.
+    /// Number of seeds (1 to N), in place of that in the file.
     #[arg(long, value_name = "N")]
     pub seeds: Option<u64>,
 }
 
+/// Runs `cherrywood experiment` and returns its exit code.
 pub fn experiment(args: &ExperimentArgs) -> u8 {
     let mut e = match Experiment::load(&args.file) {
         Ok(e) => e,
@@ -238,17 +244,17 @@
     e.seeds = args.seeds.unwrap_or(e.seeds).max(1);
     let dir = args.out.clone();
     let dir = dir.unwrap_or_else(|| PathBuf::from(format!("{}-experiment", e.name)));
-    let stop = interrupted();
+    let stop = interrupt_flag();
     let bar = ProgressBar::new(0);
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} scenarios  {eta} left") {
         bar.set_style(style);
     }
-    let played = e.run(&dir, &stop, &|n, all| {
+    let result = e.run(&dir, &stop, &|n, all| {
         bar.set_length(all as u64);
         bar.set_position(n as u64);
     });
     bar.finish_and_clear();
-    let rows = match played {
+    let rows = match result {
         Ok(rows) => rows,
         Err(e) => {
             eprintln!("cherrywood: {e:#}");
@@ -276,7 +282,7 @@
     }
 }
 
-/// Files that a schema describes.
+/// Kinds of files that have a JSON Schema.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 pub enum Schema {
     #[value(alias = "night")]
@@ -285,9 +291,9 @@
     Operator,
 }
 
-/// The JSON Schema of a file, for editors and checks.
-pub fn schema(which: Schema) -> String {
-    let schema = match which {
+/// Returns the JSON Schema of a kind of file, for editors and validation.
+pub fn schema(kind: Schema) -> String {
+    let schema = match kind {
         Schema::Scenario => schemars::schema_for!(Scenario),
         Schema::Experiment => schemars::schema_for!(Experiment),
         Schema::Operator => schemars::schema_for!(cherrywood_node::settings::Operator),
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -1,10 +1,10 @@
-//! Experiments: the same scenarios under different settings, over seeds and loads,
-//! compared pair by pair. Finished cells are kept, so that an experiment that
-//! was stopped goes on where it was.
+//! Experiments: runs the same scenarios under different settings, over seeds and loads, and
+//! compares them in pairs. Finished cells are stored, so that a stopped experiment can be
+//! resumed.
 
 use crate::log::Log;
-use crate::play::{Options, play};
 use crate::plot;
+use crate::run::{Options, run};
 use anyhow::Context as _;
 use cherrywood_checker::ClassFigures;
 use cherrywood_node::settings::Operator;
@@ -25,11 +25,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tracing::Level;
 
-/// Resamples of a bootstrap, and the share of them that an interval holds.
+/// Resamples of a bootstrap, and the share of them that an interval contains.
 const RESAMPLES: usize = 4000;
-const WITHIN: f64 = 0.95;
+const CONFIDENCE: f64 = 0.95;
 
-/// What is played, and what is compared.
+/// Definition of an experiment: the scenarios that are run and the arms that are compared.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
@@ -38,18 +38,18 @@
     #[serde(default)]
     #[garde(skip)]
     pub about: String,
-    /// Seeds 1 to this.
+    /// Number of seeds: each cell is run with the seeds 1 to this.
     #[garde(range(min = 1, max = 10_000))]
     pub seeds: u64,
-    /// Times the scenario's traffic.
+    /// Multipliers of the scenario's traffic.
     #[serde(default = "once")]
     #[garde(length(min = 1, max = 50), inner(range(min = 0.001, max = 1000.0)))]
     pub loads: Vec<f64>,
-    /// Times the jobs that wait at the scenario's beginning, by name.
+    /// Multipliers of the jobs that wait at the start of the scenario, by name.
     #[serde(default = "no_backlogs")]
     #[garde(length(min = 1, max = 20))]
     pub backlogs: BTreeMap<String, f64>,
-    /// Operators' settings, by name.
+    /// Operator settings to compare, by name.
     #[garde(length(min = 2, max = 20), dive)]
     pub arms: BTreeMap<String, Operator>,
     /// The arm that the others are compared with.
@@ -68,7 +68,7 @@
     BTreeMap::from([("as written".to_string(), 1.0)])
 }
 
-/// One scenario of an experiment.
+/// One run of an experiment.
 #[derive(Debug, Clone, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Cell {
     pub load: f64,
@@ -77,17 +77,20 @@
     pub seed: u64,
 }
 
-/// What it came to.
+/// Result of a cell.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Of the scenario, the settings and the seed: a changed file plays anew.
+    /// Hash of the scenario, the settings, the seed and the version of this package: after a
+    /// change of the file the cell is run again.
     pub key: String,
     pub cell: Cell,
     pub digest: String,
+    /// Rules broken.
     pub broken: usize,
+    /// Jobs without a final state.
     pub unsettled: usize,
     pub price: f64,
-    /// By class, what [`MEASURES`] names.
+    /// Values of [`MEASURES`], by class.
     pub classes: BTreeMap<String, [f64; MEASURES.len()]>,
 }
 
@@ -144,15 +147,15 @@
         hash.to_hex()[..24].to_string()
     }
 
-    fn play(&self, cell: &Cell) -> anyhow::Result<Row> {
+    fn run_cell(&self, cell: &Cell) -> anyhow::Result<Row> {
         let options = Options {
             seed: cell.seed,
             operator: self.arms.get(&cell.arm).cloned().unwrap_or_default(),
             processes: None,
         };
         let log = Log::new(Level::ERROR, None, false);
-        let o = log.around(|| play(self.scenario(cell), &options, &log, &mut |_| Ok(())))?;
-        let least = o.least.clone().unwrap_or_default();
+        let outcome = log.capture(|| run(self.scenario(cell), &options, &log, &mut |_| Ok(())))?;
+        let least = outcome.least.clone().unwrap_or_default();
         let figures = |c: &ClassFigures| {
             [
                 c.done_mean_s,
@@ -164,25 +167,26 @@
                 100.0 * least.share / least.bound.max(1e-9),
             ]
         };
-        let mut classes: BTreeMap<String, [f64; MEASURES.len()]> = o
+        let mut classes: BTreeMap<String, [f64; MEASURES.len()]> = outcome
             .aims
             .classes
             .iter()
             .map(|(n, c)| (n.clone(), figures(c)))
             .collect();
-        classes.insert(ALL.to_string(), figures(&o.aims.all));
+        classes.insert(ALL_CLASSES.to_string(), figures(&outcome.aims.all));
         Ok(Row {
             key: self.key(cell),
             cell: cell.clone(),
-            broken: o.breaches.len(),
-            unsettled: o.unsettled(),
-            digest: o.digest,
-            price: o.aims.price,
+            broken: outcome.violations.len(),
+            unsettled: outcome.unsettled(),
+            digest: outcome.digest,
+            price: outcome.aims.price,
             classes,
         })
     }
 
-    /// Plays what isn't in `cells.jsonl` yet, on all cores.
+    /// Runs the cells that are not in `cells.jsonl` yet, on all cores. `done` is called with the
+    /// number of finished cells and of all cells.
     pub fn run(
         &self,
         dir: &Path,
@@ -191,30 +195,30 @@
     ) -> anyhow::Result<Vec<Row>> {
         fs::create_dir_all(dir).with_context(|| dir.display().to_string())?;
         let path = dir.join("cells.jsonl");
-        let kept = fs::read_to_string(&path).unwrap_or_default();
-        // A line that was being written when the tool ended is played again.
-        let kept: BTreeMap<String, Row> = kept
+        let stored = fs::read_to_string(&path).unwrap_or_default();
+        // A truncated line, from a write that was interrupted, is ignored: its cell runs again.
+        let stored: BTreeMap<String, Row> = stored
             .lines()
             .filter_map(|l| serde_json::from_str::<Row>(l).ok())
             .map(|r| (r.key.clone(), r))
             .collect();
         let cells = self.cells();
         let all = cells.len();
-        let open: Vec<&Cell> = cells
+        let pending: Vec<&Cell> = cells
             .iter()
-            .filter(|c| !kept.contains_key(&self.key(c)))
+            .filter(|c| !stored.contains_key(&self.key(c)))
             .collect();
         let file = OpenOptions::new().create(true).append(true).open(&path);
         let file = Mutex::new(file.with_context(|| path.display().to_string())?);
-        let count = std::sync::atomic::AtomicUsize::new(all - open.len());
+        let count = std::sync::atomic::AtomicUsize::new(all - pending.len());
         done(count.load(Ordering::Relaxed), all);
-        let fresh: anyhow::Result<Vec<Option<Row>>> = open
+        let fresh: anyhow::Result<Vec<Option<Row>>> = pending
             .par_iter()
             .map(|cell| {
                 if stop.load(Ordering::Relaxed) {
                     return Ok(None);
                 }
-                let row = self.play(cell)?;
+                let row = self.run_cell(cell)?;
                 let line = serde_json::to_string(&row)?;
                 let mut file = file.lock().map_err(|_| anyhow::anyhow!("cells.jsonl"))?;
                 writeln!(file, "{line}")?;
@@ -224,7 +228,7 @@
             })
             .collect();
         let wanted: BTreeSet<String> = cells.iter().map(|c| self.key(c)).collect();
-        let mut rows: Vec<Row> = kept
+        let mut rows: Vec<Row> = stored
             .into_values()
             .filter(|r| wanted.contains(&r.key))
             .collect();
@@ -238,10 +242,10 @@
     }
 }
 
-/// The name under which all classes are counted together.
-const ALL: &str = "all";
+/// Name of the entry that counts all classes together.
+const ALL_CLASSES: &str = "all";
 
-/// What is measured of a class.
+/// Measures of a class, in the order of [`Row::classes`].
 pub const MEASURES: [&str; 7] = [
     "mean completion",
     "95% completion",
@@ -252,10 +256,11 @@
     "least served, of its bound (%)",
 ];
 
-/// Measures of the scenario as a whole, if it asks who is served.
-const WHOLE: usize = 5;
+/// Index in [`MEASURES`] from which the measures are of the scenario as a whole. They are
+/// compared only if the scenario asks for the share of jobs served.
+const FIRST_SCENARIO_MEASURE: usize = 5;
 
-/// An arm against the other, at a load and backlog.
+/// Comparison of an arm with the base arm in one measure of a class, at a load and backlog.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Comparison {
     pub load: f64,
@@ -263,18 +268,19 @@
     pub class: String,
     pub measure: &'static str,
     pub arm: String,
+    /// Number of seeds that both arms have run.
     pub pairs: usize,
-    /// Means over the seeds, s.
+    /// Means over the seeds of the base arm and of this arm, s or %.
     pub base: f64,
     pub got: f64,
-    /// Mean of the paired differences over the mean of the base, in % (of shares: in
-    /// points), and the interval that holds 95 of 100 resamples.
+    /// Mean of the paired differences over the mean of the base, in % (for shares: in
+    /// percentage points), and the interval that contains 95 of 100 resamples.
     pub change: f64,
     pub from: f64,
     pub to: f64,
 }
 
-/// Resamples the pairs; the interval of the relative change, in %.
+/// Returns the bootstrap interval of the relative change, in %, by resampling the pairs.
 pub fn bootstrap(base: &[f64], diffs: &[f64], seed: u64) -> (f64, f64) {
     let n = diffs.len();
     if n == 0 {
@@ -294,11 +300,12 @@
         .collect();
     all.sort_by(f64::total_cmp);
     let at = |share: f64| all[((RESAMPLES as f64 * share) as usize).min(RESAMPLES - 1)];
-    (at((1.0 - WITHIN) / 2.0), at((1.0 + WITHIN) / 2.0))
+    (at((1.0 - CONFIDENCE) / 2.0), at((1.0 + CONFIDENCE) / 2.0))
 }
 
+/// Compares each arm with the base arm, paired by seed.
 pub fn compare(e: &Experiment, rows: &[Row]) -> Vec<Comparison> {
-    let mut found: BTreeMap<(String, String, String), BTreeMap<u64, &Row>> = BTreeMap::new();
+    let mut by_arm: BTreeMap<(String, String, String), BTreeMap<u64, &Row>> = BTreeMap::new();
     for r in rows {
         let c = &r.cell;
         let at = (
@@ -306,24 +313,24 @@
             c.backlog.clone(),
             c.arm.clone(),
         );
-        found.entry(at).or_default().insert(c.seed, r);
+        by_arm.entry(at).or_default().insert(c.seed, r);
     }
     let mut out = Vec::new();
-    for ((load, backlog, arm), cells) in &found {
+    for ((load, backlog, arm), cells) in &by_arm {
         if *arm == e.against {
             continue;
         }
         let base = (load.clone(), backlog.clone(), e.against.clone());
-        let Some(base) = found.get(&base) else {
+        let Some(base) = by_arm.get(&base) else {
             continue;
         };
         let classes: BTreeSet<&String> = cells.values().flat_map(|r| r.classes.keys()).collect();
         for class in classes {
-            let asked = class == ALL && e.scenario.deployment.served.is_some();
-            let measures = if asked {
+            let served_wanted = class == ALL_CLASSES && e.scenario.deployment.served.is_some();
+            let measures = if served_wanted {
                 &MEASURES[..]
             } else {
-                &MEASURES[..WHOLE]
+                &MEASURES[..FIRST_SCENARIO_MEASURE]
             };
             for (m, measure) in measures.iter().enumerate() {
                 let pairs: Vec<(f64, f64)> = cells
@@ -336,7 +343,8 @@
                 let n = pairs.len().max(1) as f64;
                 let bases: Vec<f64> = pairs.iter().map(|p| p.0).collect();
                 let diffs: Vec<f64> = pairs.iter().map(|p| p.1 - p.0).collect();
-                // Shares change by points: a share of none has no relative change.
+                // The change of a share is in percentage points: a base share of 0 has no
+                // relative change.
                 let bases = match measure.ends_with("(%)") {
                     true => vec![100.0; pairs.len()],
                     false => bases,
@@ -362,15 +370,16 @@
     out
 }
 
-/// The table for the terminal: completion of all classes; the report has the rest.
-pub fn table(e: &Experiment, all: &[Comparison]) -> String {
+/// Returns the table for the terminal: all classes together, without the waits of tasks;
+/// the report contains every comparison.
+pub fn table(e: &Experiment, comparisons: &[Comparison]) -> String {
     let mut out = format!(
         "{:<6} {:<12} {:<14} {:<31} {:<14} {:>9} {:>9} {:>9}  95% interval\n",
         "load", "backlog", "class", "measure", "arm", e.against, "arm", "change"
     );
-    for c in all
+    for c in comparisons
         .iter()
-        .filter(|c| c.class == ALL && !c.measure.ends_with("tasks"))
+        .filter(|c| c.class == ALL_CLASSES && !c.measure.ends_with("tasks"))
     {
         let _ = writeln!(
             out,
@@ -422,8 +431,8 @@
             body {
                 h1 { "Experiment " (e.name) }
                 @if !e.about.is_empty() { p { (e.about) } }
-                p { (rows.len()) " scenarios, " (broken) " rules broken, " (unsettled) " jobs unsettled. "
-                    "Change against " b { (e.against) } ", of paired scenarios, with the interval that holds "
+                p { (rows.len()) " runs, " (broken) " rules broken, " (unsettled) " jobs unsettled. "
+                    "Change against " b { (e.against) } ", of paired runs, with the interval that contains "
                     "95 of 100 bootstrap resamples." }
                 table {
                     tr { th { "load" } th { "backlog" } th { "class" } th { "measure" } th { "arm" }
@@ -447,7 +456,7 @@
     use super::*;
 
     #[test]
-    fn a_bootstrap_holds_the_change_and_is_narrow_where_pairs_agree() {
+    fn the_bootstrap_interval_contains_the_change_and_is_narrow_where_pairs_agree() {
         let base = [10.0; 30];
         let same = [-2.0; 30];
         let (from, to) = bootstrap(&base, &same, 1);
@@ -459,9 +468,10 @@
         assert!(from < -5.0 && to > 5.0, "{from} {to}: no difference");
     }
 
-    /// Against an arm that serves nobody the relative change was a number of 14 digits.
+    /// Guards against a relative change of a share: with a base share of 0 it was a number of
+    /// 14 digits.
     #[test]
-    fn shares_change_by_points() {
+    fn the_change_of_a_share_is_in_percentage_points() {
         let text = include_str!("../../../experiments/overload.yaml");
         let e: Experiment = file::parse("overload.yaml", text).unwrap();
         let row = |arm: &str, seed, share| Row {
@@ -477,7 +487,7 @@
             unsettled: 0,
             price: 1.0,
             classes: BTreeMap::from([(
-                ALL.to_string(),
+                ALL_CLASSES.to_string(),
                 [10.0, 20.0, 1.0, 2.0, 100.0, share, share],
             )]),
         };
@@ -488,7 +498,10 @@
             row("as-built", 2, 70.0),
         ];
         let all = compare(&e, &rows);
-        let least = all.iter().find(|c| c.measure == MEASURES[WHOLE]).unwrap();
+        let least = all
+            .iter()
+            .find(|c| c.measure == MEASURES[FIRST_SCENARIO_MEASURE])
+            .unwrap();
         assert_eq!((least.base, least.got, least.change), (0.0, 65.0, 65.0));
         assert!(least.from >= 60.0 && least.to <= 70.0, "{least:?}");
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario: the controllers of `cherrywood-node` against the emulated
-//! systems, in virtual time on one thread or as real processes on loopback.
+//! Simulation: runs a scenario with the controllers of `cherrywood-node` against the
+//! emulated systems, in virtual time on one thread or as real processes on loopback.
 
 pub mod command;
 pub mod exit;
@@ -7,13 +7,13 @@
 pub mod live;
 pub mod log;
 pub mod nodes;
-pub mod play;
 pub mod plot;
 pub mod processes;
 pub mod report;
+pub mod run;
 pub mod search;
 pub mod shrink;
 pub mod summary;
 pub mod timeline;
 
-pub use play::{Options, Outcome, play};
+pub use run::{Options, Outcome, run};
--- a/crates/simulation/src/live.rs
+++ b/crates/simulation/src/live.rs
@@ -1,7 +1,7 @@
-//! `--live`: the scenario on the terminal while it is played, paused, in single
-//! steps, or at a speed of one's choice.
+//! Terminal view of a run (`--live`), which can be paused, run in single steps, or run at a
+//! chosen speed.
 
-use crate::play::{Scene, Verdict};
+use crate::run::{ObserverResult, RunView};
 use cherrywood_checker::What;
 use cherrywood_scenario::Trouble;
 use ratatui::Frame;
@@ -19,96 +19,111 @@
 use std::io::{self, Stdout, stdout};
 use std::time::{Duration, Instant};
 
-/// Real ms between two pictures.
+/// Real ms between two frames.
 const FRAME_MS: u64 = 80;
-/// Virtual s a real second, at first and at most; 0 is as fast as it goes.
-const SPEED: f64 = 20.0;
-const SPEED_MOST: f64 = 640.0;
-/// Troubles shown that are still to come.
-const NEXT_SHOWN: usize = 6;
+/// Virtual s a real second, by default and at most; a speed of 0 means unlimited.
+const DEFAULT_SPEED: f64 = 20.0;
+const MAX_SPEED: f64 = 640.0;
+/// Number of upcoming faults shown.
+const UPCOMING_SHOWN: usize = 6;
 
-/// One controller.
+/// Row of the table of controllers.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct NodeRow {
+pub struct ControllerRow {
     pub name: String,
     pub zone: String,
-    /// Up, down, stands still.
-    pub is: &'static str,
-    /// What the load balancer thinks.
+    /// `up`, `down` or `frozen`.
+    pub state: &'static str,
+    /// Whether the load balancer considers the controller healthy.
     pub healthy: bool,
-    pub epoch: Option<u64>,
-    pub grants: usize,
+    /// Term, if the controller leads.
+    pub term: Option<u64>,
+    pub granted_machines: usize,
 }
 
-/// Machines of a zone, type and kind.
+/// Machine and task counts of one zone, machine type and kind (spot or on-demand).
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FleetRow {
-    pub place: String,
+    pub pool: String,
+    /// Machines.
     pub booting: usize,
     pub up: usize,
+    /// Tasks.
     pub running: usize,
     pub fetching: usize,
 }
 
-/// What one picture shows.
+/// Content of one frame.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Model {
     pub scenario: String,
     pub seed: u64,
     pub now_s: f64,
     pub play_s: f64,
-    pub nodes: Vec<NodeRow>,
+    pub controllers: Vec<ControllerRow>,
     pub fleet: Vec<FleetRow>,
+    /// Waiting tasks of each level, as the leader reports them.
     pub waiting: Vec<u32>,
-    /// Name, CPUs used, most.
+    /// Name, CPUs in use and CPU limit of each team.
     pub teams: Vec<(String, f64, f64)>,
-    pub troubles_now: Vec<String>,
-    pub troubles_next: Vec<(f64, String)>,
+    pub active_faults: Vec<String>,
+    /// Start (s) and name of each.
+    pub upcoming_faults: Vec<(f64, String)>,
+    /// Rules broken so far.
     pub broken: usize,
-    pub last_breach: Option<String>,
+    pub last_violation: Option<String>,
     pub submitted: usize,
     pub open: u64,
+    /// Money an hour now, and money spent so far.
     pub hourly: f64,
     pub spent: f64,
 }
 
 impl Model {
-    pub fn of(scene: &Scene) -> Model {
-        let world = scene.world;
+    /// Samples the state of a run.
+    pub fn sample(run: &RunView) -> Model {
+        let world = run.world;
         let count = world.addresses.nodes.len();
-        let views: Vec<_> = (0..count).map(|n| scene.controllers.view(n)).collect();
-        let nodes = views.iter().enumerate().map(|(n, view)| {
-            let is = match (scene.troubles.is_up(n), scene.troubles.is_frozen(n)) {
-                (_, true) => "stands still",
+        let statuses: Vec<_> = (0..count).map(|n| run.controllers.status(n)).collect();
+        let controllers = statuses.iter().enumerate().map(|(n, status)| {
+            let state = match (run.troubles.is_up(n), run.troubles.is_frozen(n)) {
+                (_, true) => "frozen",
                 (true, _) => "up",
                 _ => "down",
             };
-            NodeRow {
+            ControllerRow {
                 name: world.node_name(n),
                 zone: world.node_zone(n),
-                is,
-                healthy: scene.users.healthy(n),
-                epoch: view.as_ref().and_then(|v| v.leading_term),
-                grants: view.as_ref().map_or(0, |v| v.granted_machines),
+                state,
+                healthy: run.users.healthy(n),
+                term: status.as_ref().and_then(|v| v.leading_term),
+                granted_machines: status.as_ref().map_or(0, |v| v.granted_machines),
             }
         });
-        let leads = views.iter().flatten().filter(|v| v.leading_term.is_some());
-        let leader = leads.max_by_key(|v| v.leading_term);
-        let fleet = scene.cloud.fleet();
+        let leaders = statuses
+            .iter()
+            .flatten()
+            .filter(|v| v.leading_term.is_some());
+        let leader = leaders.max_by_key(|v| v.leading_term);
+        let fleet = run.cloud.fleet();
         let fleet = fleet.into_iter().map(|((zone, kind, spot), n)| FleetRow {
-            place: format!("{zone} {kind}{}", if spot { " spot" } else { "" }),
+            pool: format!("{zone} {kind}{}", if spot { " spot" } else { "" }),
             booting: n[0],
             up: n[1],
             running: n[2],
             fetching: n[3],
         });
         let now_s = world.now_s();
-        let all = world.scenario.all_troubles(world.seed);
-        let next = all.iter().filter(|t| t.at_s() > now_s).take(NEXT_SHOWN);
-        let (hourly, spent) = scene.cloud.spending();
-        let (submitted, broken, last_breach) = world.look(|h, j| {
-            let is = |e: &&cherrywood_checker::Event| matches!(e.what, What::Submitted { .. });
-            let submitted = h.events.iter().filter(is).count();
+        let faults = world.scenario.all_troubles(world.seed);
+        let upcoming = faults
+            .iter()
+            .filter(|t| t.at_s() > now_s)
+            .take(UPCOMING_SHOWN);
+        let (hourly, spent) = run.cloud.spending();
+        let (submitted, broken, last_violation) = world.look(|h, j| {
+            let is_submission =
+                |e: &&cherrywood_checker::Event| matches!(e.what, What::Submitted { .. });
+            let submitted = h.events.iter().filter(is_submission).count();
             let last = j.breaches.last().map(ToString::to_string);
             (submitted, j.breaches.len(), last)
         });
@@ -117,16 +132,16 @@
             seed: world.seed,
             now_s,
             play_s: world.scenario.play_s,
-            nodes: nodes.collect(),
+            controllers: controllers.collect(),
             fleet: fleet.collect(),
             waiting: leader
                 .map(|v| v.pending_tasks_by_level.clone())
                 .unwrap_or_default(),
             teams: leader.map(|v| v.team_cpus.clone()).unwrap_or_default(),
-            troubles_now: world.now_in(|t: &Trouble| Some(t.name().to_string())),
-            troubles_next: next.map(|t| (t.at_s(), t.name().to_string())).collect(),
+            active_faults: world.now_in(|t: &Trouble| Some(t.name().to_string())),
+            upcoming_faults: upcoming.map(|t| (t.at_s(), t.name().to_string())).collect(),
             broken,
-            last_breach,
+            last_violation,
             submitted,
             open: world.open_jobs(),
             hourly,
@@ -135,12 +150,12 @@
     }
 }
 
-/// What the watcher has chosen.
+/// Controls that the user sets by keys.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Controls {
     pub paused: bool,
     pub speed: f64,
-    /// Looks to take while it is paused.
+    /// Samples to advance while the run is paused.
     pub steps: u32,
     pub quit: bool,
 }
@@ -149,7 +164,7 @@
     fn default() -> Self {
         Controls {
             paused: false,
-            speed: SPEED,
+            speed: DEFAULT_SPEED,
             steps: 0,
             quit: false,
         }
@@ -157,7 +172,8 @@
 }
 
 impl Controls {
-    pub fn key(&mut self, key: KeyCode) {
+    /// Applies a key press.
+    pub fn press(&mut self, key: KeyCode) {
         match key {
             KeyCode::Char(' ') => self.paused = !self.paused,
             KeyCode::Char('s') | KeyCode::Right => {
@@ -165,9 +181,9 @@
                 self.steps += 1;
             }
             KeyCode::Char('+' | '-') | KeyCode::Up | KeyCode::Down if self.speed == 0.0 => {
-                self.speed = SPEED;
+                self.speed = DEFAULT_SPEED;
             }
-            KeyCode::Char('+') | KeyCode::Up => self.speed = (self.speed * 2.0).min(SPEED_MOST),
+            KeyCode::Char('+') | KeyCode::Up => self.speed = (self.speed * 2.0).min(MAX_SPEED),
             KeyCode::Char('-') | KeyCode::Down => self.speed = (self.speed / 2.0).max(0.25),
             KeyCode::Char('f') => self.speed = 0.0,
             KeyCode::Char('q') | KeyCode::Esc => self.quit = true,
@@ -183,67 +199,67 @@
 pub fn draw(frame: &mut Frame, m: &Model, c: &Controls) {
     let [head, top, middle, bottom, foot] = Layout::vertical([
         Constraint::Length(1),
-        Constraint::Length(m.nodes.len() as u16 + 3),
+        Constraint::Length(m.controllers.len() as u16 + 3),
         Constraint::Min(6),
-        Constraint::Length(NEXT_SHOWN as u16 + 3),
+        Constraint::Length(UPCOMING_SHOWN as u16 + 3),
         Constraint::Length(1),
     ])
     .areas(frame.area());
     draw_head(frame, head, m, c);
-    draw_nodes(frame, top, m);
+    draw_controllers(frame, top, m);
     let [fleet, queue] =
         Layout::horizontal([Constraint::Percentage(55), Constraint::Percentage(45)]).areas(middle);
     draw_fleet(frame, fleet, m);
     draw_queue(frame, queue, m);
-    let [troubles, rules] =
+    let [faults, rules] =
         Layout::horizontal([Constraint::Percentage(55), Constraint::Percentage(45)]).areas(bottom);
-    draw_troubles(frame, troubles, m);
+    draw_faults(frame, faults, m);
     draw_rules(frame, rules, m);
-    let keys = "space pause  s step  + faster  - slower  f as fast as it goes  q quit";
+    let keys = "space pause  s step  + faster  - slower  f unlimited  q quit";
     frame.render_widget(Paragraph::new(keys).dim(), foot);
 }
 
 fn draw_head(frame: &mut Frame, at: Rect, m: &Model, c: &Controls) {
-    let pace = match (c.paused, c.speed) {
+    let speed = match (c.paused, c.speed) {
         (true, _) => "paused".to_string(),
-        (_, 0.0) => "as fast as it goes".to_string(),
+        (_, 0.0) => "unlimited speed".to_string(),
         (_, s) => format!("{s} times as fast"),
     };
     let phase = if m.now_s < m.play_s {
-        "play"
+        "running"
     } else {
         "settling"
     };
     let text = format!(
-        " {:.1} of {:.0} s, {phase}, seed {}, {pace}",
+        " {:.1} of {:.0} s, {phase}, seed {}, {speed}",
         m.now_s, m.play_s, m.seed
     );
     let line = Line::from(vec![bold(&m.scenario), Span::raw(text)]);
     frame.render_widget(Paragraph::new(line), at);
 }
 
-fn draw_nodes(frame: &mut Frame, at: Rect, m: &Model) {
-    let rows = m.nodes.iter().map(|n| {
-        let is = match n.is {
-            "up" => Cell::new(n.is).green(),
-            "down" => Cell::new(n.is).red(),
-            _ => Cell::new(n.is).yellow(),
+fn draw_controllers(frame: &mut Frame, at: Rect, m: &Model) {
+    let rows = m.controllers.iter().map(|n| {
+        let state = match n.state {
+            "up" => Cell::new(n.state).green(),
+            "down" => Cell::new(n.state).red(),
+            _ => Cell::new(n.state).yellow(),
         };
         let health = if n.healthy {
-            Cell::new("takes users").green()
+            Cell::new("in rotation").green()
         } else {
             Cell::new("avoided").yellow()
         };
-        let leads = n
-            .epoch
-            .map_or(String::new(), |e| format!("leads, epoch {e}"));
+        let leader = n
+            .term
+            .map_or(String::new(), |t| format!("leader, term {t}"));
         Row::new(vec![
             Cell::new(n.name.clone()),
             Cell::new(n.zone.clone()),
-            is,
+            state,
             health,
-            Cell::new(format!("{} grants", n.grants)),
-            Cell::new(leads).bold(),
+            Cell::new(format!("{} machines", n.granted_machines)),
+            Cell::new(leader).bold(),
         ])
     });
     let widths = [12, 14, 14, 14, 14, 20].map(Constraint::Length);
@@ -254,7 +270,7 @@
 fn draw_fleet(frame: &mut Frame, at: Rect, m: &Model) {
     let rows = m.fleet.iter().map(|f| {
         Row::new(vec![
-            f.place.clone(),
+            f.pool.clone(),
             f.booting.to_string(),
             f.up.to_string(),
             f.running.to_string(),
@@ -268,7 +284,7 @@
         Constraint::Length(8),
         Constraint::Length(9),
     ];
-    let head = Row::new(["place", "booting", "up", "running", "fetching"]).bold();
+    let head = Row::new(["pool", "booting", "up", "running", "fetching"]).bold();
     let title = format!("machines: {:.2} an hour, {:.2} spent", m.hourly, m.spent);
     let table = Table::new(rows, widths)
         .header(head)
@@ -292,9 +308,9 @@
         .map(|(l, n)| format!("{} {n}", names.get(l).unwrap_or(&"level")))
         .collect();
     frame.render_widget(Paragraph::new(text.join("   ")), areas[0]);
-    for (i, (team, used, most)) in m.teams.iter().enumerate() {
-        let (share, label) = if most.is_finite() && *most > 0.0 {
-            (used / most, format!("{team} {used:.0} of {most:.0} CPUs"))
+    for (i, (team, used, limit)) in m.teams.iter().enumerate() {
+        let (share, label) = if limit.is_finite() && *limit > 0.0 {
+            (used / limit, format!("{team} {used:.0} of {limit:.0} CPUs"))
         } else {
             (0.0, format!("{team} {used:.0} CPUs, no limit"))
         };
@@ -306,18 +322,18 @@
     }
 }
 
-fn draw_troubles(frame: &mut Frame, at: Rect, m: &Model) {
+fn draw_faults(frame: &mut Frame, at: Rect, m: &Model) {
     let mut lines: Vec<Line> = Vec::new();
-    let now = if m.troubles_now.is_empty() {
+    let now = if m.active_faults.is_empty() {
         Line::from("now: none").dim()
     } else {
-        Line::from(format!("now: {}", m.troubles_now.join(", "))).red()
+        Line::from(format!("now: {}", m.active_faults.join(", "))).red()
     };
     lines.push(now);
-    for (s, name) in &m.troubles_next {
+    for (s, name) in &m.upcoming_faults {
         lines.push(Line::from(format!("{s:>7.1} s  {name}")));
     }
-    let block = Block::bordered().title("troubles");
+    let block = Block::bordered().title("faults");
     frame.render_widget(Paragraph::new(lines).block(block), at);
 }
 
@@ -333,60 +349,62 @@
         rules,
         Line::from(format!("{} jobs submitted, {} open", m.submitted, m.open)),
     ];
-    lines.extend(m.last_breach.iter().map(|b| Line::from(b.clone()).red()));
+    lines.extend(m.last_violation.iter().map(|b| Line::from(b.clone()).red()));
     let text = Paragraph::new(lines).wrap(ratatui::widgets::Wrap { trim: true });
     frame.render_widget(text.block(Block::bordered().title("checker")), at);
 }
 
-/// The terminal, given back when it is dropped.
-pub struct Live {
+/// The terminal in raw mode on its alternate screen; restored on drop.
+pub struct TerminalView {
     terminal: Terminal<CrosstermBackend<Stdout>>,
     controls: Controls,
-    drawn: Instant,
-    /// Real and virtual time from which the speed counts.
-    from: (Instant, f64),
+    last_frame: Instant,
+    /// Real time and virtual s from which the speed is measured.
+    speed_origin: (Instant, f64),
 }
 
-impl Live {
-    pub fn new() -> io::Result<Live> {
+impl TerminalView {
+    pub fn new() -> io::Result<TerminalView> {
         enable_raw_mode()?;
         stdout().execute(EnterAlternateScreen)?;
-        Ok(Live {
+        Ok(TerminalView {
             terminal: Terminal::new(CrosstermBackend::new(stdout()))?,
             controls: Controls::default(),
-            drawn: Instant::now(),
-            from: (Instant::now(), 0.0),
+            last_frame: Instant::now(),
+            speed_origin: (Instant::now(), 0.0),
         })
     }
 
-    /// Shows the scenario, and holds it back to the speed that was chosen. Blocking
-    /// here stops the scenario: it runs on this thread.
-    pub fn look(&mut self, scene: &Scene) -> Verdict {
+    /// Draws the run, and delays it to the chosen speed. Blocking here stops the run, which
+    /// is on this thread.
+    pub fn update(&mut self, run: &RunView) -> ObserverResult {
         loop {
-            if self.drawn.elapsed() >= Duration::from_millis(FRAME_MS) || self.controls.paused {
-                let model = Model::of(scene);
+            if self.last_frame.elapsed() >= Duration::from_millis(FRAME_MS) || self.controls.paused
+            {
+                let model = Model::sample(run);
                 let controls = self.controls.clone();
                 let drawn = self.terminal.draw(|f| draw(f, &model, &controls));
-                drawn.map_err(|e| format!("the terminal: {e}"))?;
-                self.drawn = Instant::now();
+                drawn.map_err(|e| format!("terminal error: {e}"))?;
+                self.last_frame = Instant::now();
             }
-            let now = scene.world.now_s();
+            let now = run.world.now_s();
             let wait = if self.controls.paused {
                 Duration::from_millis(FRAME_MS)
             } else if self.controls.speed == 0.0 {
                 Duration::ZERO
             } else {
-                let due = (now - self.from.1) / self.controls.speed;
-                Duration::from_secs_f64(due.max(0.0)).saturating_sub(self.from.0.elapsed())
+                let due = (now - self.speed_origin.1) / self.controls.speed;
+                Duration::from_secs_f64(due.max(0.0)).saturating_sub(self.speed_origin.0.elapsed())
             };
             let wait = wait.min(Duration::from_millis(FRAME_MS));
             let before = self.controls.clone();
-            self.keys(wait).map_err(|e| format!("the terminal: {e}"))?;
+            self.read_keys(wait)
+                .map_err(|e| format!("terminal error: {e}"))?;
             if self.controls.quit {
-                return Err(format!("stopped by its watcher at {now:.0} s"));
+                return Err(format!("stopped by the user at {now:.0} s"));
             }
             if before != self.controls {
-                self.from = (Instant::now(), now);
+                self.speed_origin = (Instant::now(), now);
             }
             if self.controls.paused {
                 if self.controls.steps > 0 {
@@ -395,14 +413,15 @@
                 }
                 continue;
             }
-            let due = (now - self.from.1) / self.controls.speed.max(1e-9);
-            if self.controls.speed == 0.0 || self.from.0.elapsed().as_secs_f64() >= due {
+            let due = (now - self.speed_origin.1) / self.controls.speed.max(1e-9);
+            if self.controls.speed == 0.0 || self.speed_origin.0.elapsed().as_secs_f64() >= due {
                 return Ok(());
             }
         }
     }
 
-    fn keys(&mut self, wait: Duration) -> io::Result<()> {
+    /// Reads key presses: waits for the first, then takes those that are pending.
+    fn read_keys(&mut self, wait: Duration) -> io::Result<()> {
         let mut wait = wait;
         while event::poll(wait)? {
             if let Event::Key(key) = event::read()?
@@ -411,7 +430,7 @@
                 let ctrl_c =
                     key.code == KeyCode::Char('c') && key.modifiers == KeyModifiers::CONTROL;
                 self.controls
-                    .key(if ctrl_c { KeyCode::Esc } else { key.code });
+                    .press(if ctrl_c { KeyCode::Esc } else { key.code });
             }
             wait = Duration::ZERO;
         }
@@ -419,7 +438,7 @@
     }
 }
 
-impl Drop for Live {
+impl Drop for TerminalView {
     fn drop(&mut self) {
         let _ = disable_raw_mode();
         let _ = execute!(stdout(), LeaveAlternateScreen);
@@ -437,24 +456,24 @@
             seed: 7,
             now_s: 66.5,
             play_s: 300.0,
-            nodes: vec![
-                NodeRow {
+            controllers: vec![
+                ControllerRow {
                     name: "node-0".into(),
                     zone: "north".into(),
-                    is: "up",
+                    state: "up",
                     healthy: true,
-                    epoch: Some(3),
-                    grants: 12,
+                    term: Some(3),
+                    granted_machines: 12,
                 },
-                NodeRow {
+                ControllerRow {
                     name: "node-1".into(),
                     zone: "south".into(),
-                    is: "stands still",
-                    ..NodeRow::default()
+                    state: "frozen",
+                    ..ControllerRow::default()
                 },
             ],
             fleet: vec![FleetRow {
-                place: "north c8 spot".into(),
+                pool: "north c8 spot".into(),
                 booting: 1,
                 up: 4,
                 running: 13,
@@ -465,10 +484,10 @@
                 ("day".into(), 120.0, 300.0),
                 ("guest".into(), 8.0, f64::INFINITY),
             ],
-            troubles_now: vec!["state_outage".into()],
-            troubles_next: vec![(95.0, "state_loses".into())],
+            active_faults: vec!["state_outage".into()],
+            upcoming_faults: vec![(95.0, "state_loses".into())],
             broken: 1,
-            last_breach: Some("ran_twice: wk-000001/0 on vm-1".into()),
+            last_violation: Some("ran_twice: wk-000001/0 on vm-1".into()),
             submitted: 12,
             open: 4,
             hourly: 3.25,
@@ -486,15 +505,15 @@
     }
 
     #[test]
-    fn a_picture_shows_controllers_machines_levels_teams_troubles_and_rules() {
+    fn a_frame_shows_controllers_machines_levels_teams_faults_and_rules() {
         let text = screen(&model(), &Controls::default());
         for part in [
-            "many-failures 66.5 of 300 s, play, seed 7, 20 times as fast",
-            "leads, epoch 3",
-            "stands still",
-            "takes users",
+            "many-failures 66.5 of 300 s, running, seed 7, 20 times as fast",
+            "leader, term 3",
+            "frozen",
+            "in rotation",
             "avoided",
-            "12 grants",
+            "12 machines",
             "north c8 spot",
             "short 5   middle 77   long 0",
             "day 120 of 300 CPUs",
@@ -513,23 +532,23 @@
     #[test]
     fn keys_pause_step_and_change_the_speed() {
         let mut c = Controls::default();
-        c.key(KeyCode::Char(' '));
+        c.press(KeyCode::Char(' '));
         assert!(c.paused && screen(&model(), &c).contains("paused"));
-        c.key(KeyCode::Char('s'));
+        c.press(KeyCode::Char('s'));
         assert_eq!((c.paused, c.steps), (true, 1));
-        c.key(KeyCode::Char(' '));
-        c.key(KeyCode::Up);
+        c.press(KeyCode::Char(' '));
+        c.press(KeyCode::Up);
         assert_eq!((c.paused, c.speed), (false, 40.0));
-        c.key(KeyCode::Char('f'));
-        assert!(screen(&model(), &c).contains("as fast as it goes"));
-        c.key(KeyCode::Down);
-        assert_eq!(c.speed, SPEED);
-        c.key(KeyCode::Char('q'));
+        c.press(KeyCode::Char('f'));
+        assert!(screen(&model(), &c).contains("unlimited speed"));
+        c.press(KeyCode::Down);
+        assert_eq!(c.speed, DEFAULT_SPEED);
+        c.press(KeyCode::Char('q'));
         assert!(c.quit);
     }
 
     #[test]
-    fn a_small_terminal_is_no_reason_to_panic() {
+    fn drawing_on_a_small_terminal_does_not_panic() {
         let mut terminal = Terminal::new(TestBackend::new(20, 5)).unwrap();
         terminal
             .draw(|f| draw(f, &model(), &Controls::default()))
--- a/crates/simulation/src/log.rs
+++ b/crates/simulation/src/log.rs
@@ -1,5 +1,5 @@
-//! What the controllers log while a scenario is played, with the scenario's time and
-//! the controller that said it; and the life of one job across all of them.
+//! Log of the controllers during a run, each line with its scenario time and controller, and
+//! the trace of one job across all controllers.
 
 use cherrywood_checker::history::Event;
 use cherrywood_checker::{History, What};
@@ -14,18 +14,19 @@
 use tracing_subscriber::layer::{Context, Layer};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Lines kept; the oldest go first.
-const LINES_MOST: usize = 200_000;
+/// Lines kept at most; the oldest are dropped first.
+const MAX_LINES: usize = 200_000;
 
+/// A log line, with the time since the start of the run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Line {
+pub struct LogLine {
     pub at_ms: u64,
     pub node: String,
     pub level: Level,
     pub text: String,
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for LogLine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -39,38 +40,40 @@
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct Buffer {
     start: Option<Instant>,
-    lines: VecDeque<Line>,
-    /// Of the job that is traced.
-    life: Vec<Line>,
+    lines: VecDeque<LogLine>,
+    /// Lines about the traced job.
+    job_trace: Vec<LogLine>,
 }
 
-/// Collects log lines; cheap to clone.
+/// Collects log lines. Clones share their lines.
 #[derive(Debug, Clone)]
 pub struct Log {
-    kept: Arc<Mutex<Kept>>,
+    buffer: Arc<Mutex<Buffer>>,
     level: Level,
+    /// Id of the traced job.
     trace: Option<String>,
-    /// Print them as they come.
+    /// Whether lines are printed to stderr as they arrive.
     echo: bool,
 }
 
-/// What a span belongs to.
+/// Job and text of a span.
 #[derive(Debug, Clone, Default)]
-struct Of {
+struct SpanContext {
     job: Option<String>,
     text: String,
 }
 
+/// Collects the message, the fields and the job of an event or a span.
 #[derive(Debug, Default)]
-struct Read {
+struct FieldVisitor {
     message: String,
     fields: String,
     job: Option<String>,
 }
 
-impl Visit for Read {
+impl Visit for FieldVisitor {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         match field.name() {
             "message" => self.message = format!("{value:?}"),
@@ -86,99 +89,100 @@
 }
 
 impl Log {
-    /// Keeps lines up to a level, and those of a job if one is traced.
+    /// Creates a log that keeps lines up to a level, and those of a job if one is traced.
     pub fn new(level: Level, trace: Option<String>, echo: bool) -> Log {
         Log {
-            kept: Arc::default(),
+            buffer: Arc::default(),
             level,
             trace,
             echo,
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The scenario begins now.
-    pub fn begin(&self) {
+    /// Starts the clock of the lines; lines before this are dropped.
+    pub fn start_clock(&self) {
         self.lock().start = Some(Instant::now());
     }
 
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<LogLine> {
         self.lock().lines.iter().cloned().collect()
     }
 
-    fn ours(&self, job: &str) -> bool {
+    fn is_traced(&self, job: &str) -> bool {
         let id = job.split('/').next();
         self.trace.as_deref() == id
     }
 
-    /// Runs something whose log lines are kept here.
-    pub fn around<T>(&self, work: impl FnOnce() -> T) -> T {
+    /// Runs a function and captures its log lines.
+    pub fn capture<T>(&self, work: impl FnOnce() -> T) -> T {
         use tracing_subscriber::layer::SubscriberExt as _;
         let subscriber = tracing_subscriber::registry().with(self.clone());
         tracing::subscriber::with_default(subscriber, work)
     }
 
-    /// A line that a controller printed which is a process of its own.
-    pub fn printed(&self, node: &str, text: &str) {
+    /// Appends a line that a controller running as a process has printed.
+    pub fn append_printed(&self, node: &str, text: &str) {
         let (level, text) = text.trim_start().split_once(' ').unwrap_or(("INFO", text));
         let level = level.parse().unwrap_or(Level::INFO);
-        self.keep_of(node, level, text.trim().to_string(), false);
+        self.append(node, level, text.trim().to_string(), false);
     }
 
-    fn keep(&self, level: Level, text: String, life: bool) {
+    /// Appends a line of the controller that is running on this thread.
+    fn append_current(&self, level: Level, text: String, to_job_trace: bool) {
         let node = proc::current().unwrap_or_else(|| "tool".into());
-        self.keep_of(&node, level, text, life);
+        self.append(&node, level, text, to_job_trace);
     }
 
-    fn keep_of(&self, node: &str, level: Level, text: String, life: bool) {
-        let mut kept = self.lock();
-        let Some(start) = kept.start else { return };
-        let line = Line {
+    fn append(&self, node: &str, level: Level, text: String, to_job_trace: bool) {
+        let mut buffer = self.lock();
+        let Some(start) = buffer.start else { return };
+        let line = LogLine {
             at_ms: start.elapsed().as_millis() as u64,
             node: node.to_string(),
             level,
             text,
         };
-        if life {
-            kept.life.push(line);
+        if to_job_trace {
+            buffer.job_trace.push(line);
             return;
         }
         if self.echo {
             eprintln!("{line}");
         }
-        if kept.lines.len() >= LINES_MOST {
-            kept.lines.pop_front();
+        if buffer.lines.len() >= MAX_LINES {
+            buffer.lines.pop_front();
         }
-        kept.lines.push_back(line);
+        buffer.lines.push_back(line);
     }
 
-    /// The life of the traced job: what its user was told, what machines did,
-    /// and what the controllers did about it, by time.
-    pub fn life(&self, history: &History) -> Vec<String> {
+    /// Returns the trace of the traced job in order of time: the responses to its user, the
+    /// events on machines, and the log lines of the controllers.
+    pub fn job_trace(&self, history: &History) -> Vec<String> {
         let Some(id) = &self.trace else {
             return Vec::new();
         };
-        let outside = history.events.iter().filter_map(|e| {
-            let (who, what) = outside(e, id)?;
+        let external = history.events.iter().filter_map(|e| {
+            let (actor, action) = describe(e, id)?;
             let at = e.at_ms as f64 / 1000.0;
-            Some((e.at_ms, format!("{at:>9.3} {who:<10} {what}")))
+            Some((e.at_ms, format!("{at:>9.3} {actor:<10} {action}")))
         });
-        let inside = self.lock().life.clone();
-        let inside = inside.into_iter().map(|l| {
+        let logged = self.lock().job_trace.clone();
+        let logged = logged.into_iter().map(|l| {
             let at = l.at_ms as f64 / 1000.0;
             (l.at_ms, format!("{at:>9.3} {:<10} {}", l.node, l.text))
         });
-        let mut all: Vec<(u64, String)> = outside.chain(inside).collect();
+        let mut all: Vec<(u64, String)> = external.chain(logged).collect();
         all.sort_by_key(|(at, _)| *at);
         all.into_iter().map(|(_, text)| text).collect()
     }
 }
 
-/// Who did what to the job, as the world saw it.
-fn outside(e: &Event, id: &str) -> Option<(String, String)> {
+/// Returns the actor and the description of an event that concerns the job.
+fn describe(e: &Event, id: &str) -> Option<(String, String)> {
     let of = |task: &str| task.split('/').next() == Some(id);
     let user = |what: String| Some(("user".to_string(), what));
     match &e.what {
@@ -241,46 +245,54 @@
 
     fn on_new_span(&self, attrs: &Attributes<'_>, id: &Id, ctx: Context<'_, S>) {
         let Some(span) = ctx.span(id) else { return };
-        let mut read = Read::default();
-        attrs.record(&mut read);
-        let text = format!("{}{{{}}}", span.name(), read.fields.trim());
-        // One that belongs to no job concerns all of them.
-        if read.job.as_deref().is_none_or(|j| self.ours(j)) && span.name() != "placement" {
-            self.keep(Level::TRACE, format!("{text} begins"), true);
+        let mut visitor = FieldVisitor::default();
+        attrs.record(&mut visitor);
+        let text = format!("{}{{{}}}", span.name(), visitor.fields.trim());
+        // A span that belongs to no job concerns every job.
+        if visitor.job.as_deref().is_none_or(|j| self.is_traced(j)) && span.name() != "placement" {
+            self.append_current(Level::TRACE, format!("{text} begins"), true);
         }
-        span.extensions_mut().insert(Of {
-            job: read.job,
+        span.extensions_mut().insert(SpanContext {
+            job: visitor.job,
             text,
         });
     }
 
     fn on_close(&self, id: Id, ctx: Context<'_, S>) {
         let Some(span) = ctx.span(&id) else { return };
-        let of = span.extensions().get::<Of>().cloned().unwrap_or_default();
-        if of.job.as_deref().is_none_or(|j| self.ours(j)) && span.name() != "placement" {
-            self.keep(Level::TRACE, format!("{} ends", of.text), true);
+        let context = span
+            .extensions()
+            .get::<SpanContext>()
+            .cloned()
+            .unwrap_or_default();
+        if context.job.as_deref().is_none_or(|j| self.is_traced(j)) && span.name() != "placement" {
+            self.append_current(Level::TRACE, format!("{} ends", context.text), true);
         }
     }
 
     fn on_event(&self, event: &tracing::Event<'_>, ctx: Context<'_, S>) {
-        let mut read = Read::default();
-        event.record(&mut read);
-        let life = event.metadata().target() == "life";
+        let mut visitor = FieldVisitor::default();
+        event.record(&mut visitor);
+        let only_job_trace = event.metadata().target() == "life";
         let level = *event.metadata().level();
         let mut within = None;
         for span in ctx.event_scope(event).into_iter().flatten() {
-            let of = span.extensions().get::<Of>().cloned().unwrap_or_default();
-            read.job = read.job.or(of.job);
-            within.get_or_insert(of.text);
+            let context = span
+                .extensions()
+                .get::<SpanContext>()
+                .cloned()
+                .unwrap_or_default();
+            visitor.job = visitor.job.or(context.job);
+            within.get_or_insert(context.text);
         }
-        let text = format!("{}{}", read.message, read.fields);
-        let ours = read.job.as_deref().is_some_and(|j| self.ours(j));
-        if ours {
+        let text = format!("{}{}", visitor.message, visitor.fields);
+        let traced = visitor.job.as_deref().is_some_and(|j| self.is_traced(j));
+        if traced {
             let within = within.map_or(String::new(), |w| format!("{w}: "));
-            self.keep(level, format!("{within}{text}"), true);
+            self.append_current(level, format!("{within}{text}"), true);
         }
-        if !life {
-            self.keep(level, text, false);
+        if !only_job_trace {
+            self.append_current(level, text, false);
         }
     }
 }
--- a/crates/simulation/src/nodes.rs
+++ b/crates/simulation/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The controllers of a scenario.
+//! The controllers of a run: their platform settings, and controllers as tasks of this process.
 
 use cherrywood_control::Settings as Cluster;
 use cherrywood_control::settings::{
@@ -17,11 +17,11 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What the platform would hand over to this controller.
+/// Returns the settings that the platform would provide to this controller.
 pub fn platform(world: &World, node: usize) -> Platform {
     let d = &world.scenario.deployment;
     let at = &world.addresses;
-    let others = (0..at.nodes.len()).filter(|n| *n != node);
+    let peers = (0..at.nodes.len()).filter(|n| *n != node);
     let objective = |a: &Aim| {
         let (kind, class, within_s) = match a {
             Aim::Wait {
@@ -43,7 +43,7 @@
         label: world.node_name(node),
         serve_on: at.nodes[node].0,
         internal_addr: at.nodes[node].1,
-        members: others
+        members: peers
             .map(|n| Member {
                 label: world.node_name(n),
                 endpoint: at.nodes[n].1,
@@ -67,9 +67,9 @@
                     .map(|t| Team {
                         name: t.name.clone(),
                         cpus: t.cpus,
-                        cpus_max: unlimited(t.cpus_max),
+                        cpus_max: limit_or_infinity(t.cpus_max),
                         gpus: t.gpus,
-                        gpus_max: unlimited(t.gpus_max),
+                        gpus_max: limit_or_infinity(t.gpus_max),
                     })
                     .collect(),
                 workers: Workers {
@@ -98,10 +98,12 @@
     }
 }
 
-fn unlimited(most: f64) -> f64 {
-    if most > 0.0 { most } else { f64::INFINITY }
+/// Returns a limit, where 0 or less means that there is none.
+fn limit_or_infinity(limit: f64) -> f64 {
+    if limit > 0.0 { limit } else { f64::INFINITY }
 }
 
+/// A controller; without a process while it is down.
 #[derive(Debug, Default)]
 struct Slot {
     proc: Option<Arc<Proc>>,
@@ -113,8 +115,8 @@
     world: Arc<World>,
     operator: Operator,
     slots: Mutex<Vec<Slot>>,
-    /// Controllers that ended by themselves, and why.
-    ended: Mutex<Vec<(usize, String)>>,
+    /// Controllers that exited by themselves since the last call, with the cause.
+    exited: Mutex<Vec<(usize, String)>>,
 }
 
 impl InProcess {
@@ -124,52 +126,53 @@
             world: world.clone(),
             operator,
             slots: Mutex::new((0..count).map(|_| Slot::default()).collect()),
-            ended: Mutex::default(),
+            exited: Mutex::default(),
         })
     }
 
-    /// How a controller looks from inside; None if it is down.
-    pub fn view(&self, node: usize) -> Option<NodeStatus> {
+    /// Returns the status of a controller; none if it is down.
+    pub fn status(&self, node: usize) -> Option<NodeStatus> {
         let node = lock(&lock(&self.slots)[node].node).upgrade();
         node.map(|n| n.status())
     }
 
-    pub fn ended(&self) -> Vec<(usize, String)> {
-        std::mem::take(&mut lock(&self.ended))
+    /// Takes the controllers that exited by themselves since the last call, with the cause.
+    pub fn take_exited(&self) -> Vec<(usize, String)> {
+        std::mem::take(&mut lock(&self.exited))
     }
 }
 
-/// [`Nodes`] for an owner that is shared.
-pub struct Shared(pub Arc<InProcess>);
+/// Implements [`Nodes`] for shared [`InProcess`] controllers.
+pub struct SharedInProcess(pub Arc<InProcess>);
 
-impl Nodes for Shared {
+impl Nodes for SharedInProcess {
     fn start(&self, node: usize) {
-        let me = &self.0;
-        let name = me.world.node_name(node);
-        let zone = me.world.node_zone(node);
-        let ip = me.world.addresses.nodes[node].0.ip();
-        let proc = me.world.proc(&name, ip, Role::Node, Some(&zone));
+        let controllers = &self.0;
+        let name = controllers.world.node_name(node);
+        let zone = controllers.world.node_zone(node);
+        let ip = controllers.world.addresses.nodes[node].0.ip();
+        let proc = controllers.world.proc(&name, ip, Role::Node, Some(&zone));
         let settings = Settings {
-            platform: platform(&me.world, node),
-            operator: me.operator.clone(),
+            platform: platform(&controllers.world, node),
+            operator: controllers.operator.clone(),
         };
         let host = proc.host();
-        let inside = Arc::new(Mutex::new(Weak::new()));
-        let (told, owner) = (inside.clone(), me.clone());
-        let own = host.clone();
+        let node_ref = Arc::new(Mutex::new(Weak::new()));
+        let (started, owner) = (node_ref.clone(), controllers.clone());
+        let node_host = host.clone();
         host.spawn(async move {
-            match cherrywood_node::start(own, settings).await {
+            match cherrywood_node::start(node_host, settings).await {
                 Ok((node, serve)) => {
-                    *lock(&told) = Arc::downgrade(&node);
+                    *lock(&started) = Arc::downgrade(&node);
                     drop(node);
                     serve.await;
                 }
-                Err(e) => lock(&owner.ended).push((node, format!("{e:#}"))),
+                Err(e) => lock(&owner.exited).push((node, format!("{e:#}"))),
             }
         });
-        lock(&me.slots)[node] = Slot {
+        lock(&controllers.slots)[node] = Slot {
             proc: Some(proc),
-            node: inside,
+            node: node_ref,
         };
     }
 
--- a/crates/simulation/src/plot.rs
+++ b/crates/simulation/src/plot.rs
@@ -1,16 +1,18 @@
-//! Plots as SVG text.
+//! Plots of a run and of an experiment, as SVG text.
 
-use crate::timeline::{Band, Bar, Point, Timeline};
+use crate::timeline::{Bar, FaultInterval, Point, Timeline};
 use plotters::prelude::*;
 use plotters::style::text_anchor::{HPos, Pos, VPos};
 use std::collections::BTreeMap;
 
+/// Width and height of a plot, px.
 const SIZE: (u32, u32) = (920, 240);
-/// Machines in a Gantt plot at most: a longer list can't be read.
-const GANTT_MOST: usize = 80;
+/// Machines in a Gantt plot at most; a longer list is not legible.
+const MAX_GANTT_MACHINES: usize = 80;
+/// Height of a row of the Gantt plot, px.
 const ROW_PX: u32 = 9;
 
-/// Colours that are told apart in print and by most eyes (Okabe and Ito).
+/// Colours that most readers can distinguish, also in print (Okabe and Ito).
 const COLOURS: [RGBColor; 7] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -21,17 +23,19 @@
     RGBColor(90, 90, 90),
 ];
 
+/// Returns the colour of a series.
 pub fn colour(i: usize) -> RGBColor {
     COLOURS[i % COLOURS.len()]
 }
 
+/// Name and points of a line.
 type Series<'a> = (&'a str, Vec<(f64, f64)>);
 
-/// Lines over time, with troubles as shaded bands; an empty text if the plot
-/// can't be drawn.
-pub fn lines(series: &[Series], bands: &[Band]) -> String {
+/// Plots lines over time, with faults as shaded bands. Returns an empty text if the plot
+/// cannot be drawn.
+pub fn lines(series: &[Series], faults: &[FaultInterval]) -> String {
     let mut svg = String::new();
-    match draw(&mut svg, series, bands) {
+    match draw(&mut svg, series, faults) {
         Ok(()) => svg,
         Err(_) => String::new(),
     }
@@ -40,7 +44,7 @@
 fn draw(
     svg: &mut String,
     series: &[Series],
-    bands: &[Band],
+    faults: &[FaultInterval],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let all = || series.iter().flat_map(|s| &s.1);
     let end = all().map(|p| p.0).fold(1.0, f64::max);
@@ -60,10 +64,10 @@
         .x_label_formatter(&|s| format!("{s:.0} s"))
         .y_label_formatter(&|v| format!("{v:.0}"))
         .draw()?;
-    for b in bands {
-        // A moment is drawn as a thin line.
-        let to = b.to_s.max(b.from_s + end / 400.0);
-        let area = [(b.from_s, 0.0), (to, top)];
+    for fault in faults {
+        // A fault without duration is drawn as a thin line.
+        let to = fault.to_s.max(fault.from_s + end / 400.0);
+        let area = [(fault.from_s, 0.0), (to, top)];
         chart.draw_series([Rectangle::new(area, RED.mix(0.10).filled())])?;
     }
     for (i, (name, points)) in series.iter().enumerate() {
@@ -81,7 +85,8 @@
     Ok(())
 }
 
-/// Of each arm: load, change, and the ends of its interval.
+/// Plots the change by load. The points of each arm are its load, its change, and the bounds
+/// of the interval of the change. Returns an empty text if the plot cannot be drawn.
 pub fn intervals(series: &BTreeMap<&str, Vec<[f64; 4]>>) -> String {
     let mut svg = String::new();
     match draw_intervals(&mut svg, series) {
@@ -95,8 +100,8 @@
     series: &BTreeMap<&str, Vec<[f64; 4]>>,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let all = || series.values().flatten();
-    let least = all().map(|p| p[2]).fold(-1.0, f64::min) * 1.1;
-    let most = all().map(|p| p[3]).fold(1.0, f64::max) * 1.1;
+    let bottom = all().map(|p| p[2]).fold(-1.0, f64::min) * 1.1;
+    let top = all().map(|p| p[3]).fold(1.0, f64::max) * 1.1;
     let left = all().map(|p| p[0]).fold(f64::INFINITY, f64::min) - 0.05;
     let right = all().map(|p| p[0]).fold(0.0, f64::max) + 0.05;
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
@@ -104,7 +109,7 @@
         .margin(6)
         .x_label_area_size(24)
         .y_label_area_size(54)
-        .build_cartesian_2d(left..right, least..most)?;
+        .build_cartesian_2d(left..right, bottom..top)?;
     chart
         .configure_mesh()
         .light_line_style(TRANSPARENT)
@@ -116,9 +121,9 @@
         BLACK.mix(0.5),
     )])?;
     for (i, (name, points)) in series.iter().enumerate() {
-        // Side by side, so that intervals don't hide each other.
-        let beside = (i as f64 - series.len() as f64 / 2.0) * 0.008;
-        let line = points.iter().map(|p| (p[0] + beside, p[1]));
+        // The arms are drawn side by side, so that their intervals do not overlap.
+        let offset = (i as f64 - series.len() as f64 / 2.0) * 0.008;
+        let line = points.iter().map(|p| (p[0] + offset, p[1]));
         chart
             .draw_series(LineSeries::new(line, colour(i).stroke_width(2)))?
             .label(*name)
@@ -126,7 +131,7 @@
                 PathElement::new([(x, y), (x + 16, y)], colour(i).stroke_width(2))
             });
         chart.draw_series(points.iter().map(|p| {
-            let at = p[0] + beside;
+            let at = p[0] + offset;
             PathElement::new([(at, p[2]), (at, p[3])], colour(i).stroke_width(1))
         }))?;
     }
@@ -139,6 +144,7 @@
     Ok(())
 }
 
+/// Returns the classes of the tasks that ran, sorted.
 fn classes(t: &Timeline) -> Vec<&str> {
     let mut classes: Vec<&str> = t.bars.iter().filter_map(|b| b.class.as_deref()).collect();
     classes.sort_unstable();
@@ -146,12 +152,13 @@
     classes
 }
 
-/// Machines over time: booting, and the tasks on them.
+/// Plots the boots of machines and the tasks on them over time; none if there is no machine or
+/// more than [`MAX_GANTT_MACHINES`].
 fn gantt(t: &Timeline) -> Option<String> {
     let mut machines: Vec<&str> = t.bars.iter().map(|b| b.machine.as_str()).collect();
     machines.sort_unstable();
     machines.dedup();
-    if machines.is_empty() || machines.len() > GANTT_MOST {
+    if machines.is_empty() || machines.len() > MAX_GANTT_MACHINES {
         return None;
     }
     let mut svg = String::new();
@@ -197,30 +204,30 @@
         let at = row.get(b.machine.as_str()).copied().unwrap_or(0) as f64;
         let fill = match &b.class {
             None => BLACK.mix(0.18),
-            // Tasks overlap: the darker, the fuller.
+            // Tasks of a machine overlap: the darker the row, the more tasks run.
             Some(c) => colour(classes.iter().position(|x| x == c).unwrap_or(0)).mix(0.28),
         };
         chart.draw_series([rectangle(b, at + 0.92, at + 0.08, fill)])?;
     }
-    for b in &t.bands {
-        let to = b.to_s.max(b.from_s + end / 400.0);
-        let area = [(b.from_s, 0.0), (to, rows)];
+    for fault in &t.faults {
+        let to = fault.to_s.max(fault.from_s + end / 400.0);
+        let area = [(fault.from_s, 0.0), (to, rows)];
         chart.draw_series([Rectangle::new(area, RED.mix(0.06).filled())])?;
     }
     root.present()?;
     Ok(())
 }
 
-/// All plots of a scenario with their titles.
-pub fn all(t: &Timeline) -> Vec<(String, String)> {
-    let of = |get: &dyn Fn(&Point) -> f64| -> Vec<(f64, f64)> {
+/// Returns the titles and plots of a run.
+pub fn timeline_plots(t: &Timeline) -> Vec<(String, String)> {
+    let series = |get: &dyn Fn(&Point) -> f64| -> Vec<(f64, f64)> {
         t.points.iter().map(|p| (p.at_s, get(p))).collect()
     };
-    let sum = |get: &dyn Fn(&Point) -> u32| -> Vec<(f64, f64)> {
-        let mut all = 0;
+    let cumulative = |get: &dyn Fn(&Point) -> u32| -> Vec<(f64, f64)> {
+        let mut sum = 0;
         let add = |p: &Point| {
-            all += get(p);
-            (p.at_s, f64::from(all))
+            sum += get(p);
+            (p.at_s, f64::from(sum))
         };
         t.points.iter().map(add).collect()
     };
@@ -231,7 +238,7 @@
             let name = names.get(l).copied().unwrap_or("level");
             (
                 name,
-                of(&|p| p.waiting.get(l).copied().map_or(0.0, f64::from)),
+                series(&|p| p.waiting.get(l).copied().map_or(0.0, f64::from)),
             )
         })
         .collect();
@@ -240,45 +247,45 @@
             "Machines".to_string(),
             lines(
                 &[
-                    ("up", of(&|p| f64::from(p.up))),
-                    ("booting", of(&|p| f64::from(p.booting))),
+                    ("up", series(&|p| f64::from(p.up))),
+                    ("booting", series(&|p| f64::from(p.booting))),
                 ],
-                &t.bands,
+                &t.faults,
             ),
         ),
         (
             "CPUs".to_string(),
             lines(
                 &[
-                    ("up", of(&|p| p.cpus_up)),
-                    ("running tasks", of(&|p| p.cpus_running)),
-                    ("waiting for images", of(&|p| p.cpus_fetching)),
+                    ("up", series(&|p| p.cpus_up)),
+                    ("running tasks", series(&|p| p.cpus_running)),
+                    ("waiting for images", series(&|p| p.cpus_fetching)),
                 ],
-                &t.bands,
+                &t.faults,
             ),
         ),
         (
             "Money an hour, at nominal prices".to_string(),
-            lines(&[("money", of(&|p| p.hourly))], &t.bands),
+            lines(&[("money", series(&|p| p.hourly))], &t.faults),
         ),
         (
-            "Jobs until then".to_string(),
+            "Jobs, cumulative".to_string(),
             lines(
                 &[
-                    ("submitted", sum(&|p| p.submitted)),
-                    ("accepted", sum(&|p| p.accepted)),
-                    ("done or cancelled", sum(&|p| p.done)),
+                    ("submitted", cumulative(&|p| p.submitted)),
+                    ("accepted", cumulative(&|p| p.accepted)),
+                    ("done or cancelled", cumulative(&|p| p.done)),
                 ],
-                &t.bands,
+                &t.faults,
             ),
         ),
         (
             "Tasks waiting in each level".to_string(),
-            lines(&waiting, &t.bands),
+            lines(&waiting, &t.faults),
         ),
         (
             "Controllers that are up".to_string(),
-            lines(&[("up", of(&|p| f64::from(p.nodes)))], &t.bands),
+            lines(&[("up", series(&|p| f64::from(p.nodes)))], &t.faults),
         ),
     ];
     if let Some(svg) = gantt(t) {
--- a/crates/simulation/src/processes.rs
+++ b/crates/simulation/src/processes.rs
@@ -1,5 +1,5 @@
-//! Controllers as real processes on loopback, started and killed by the tool.
-//! None of them outlives it.
+//! Controllers as processes on loopback, started and killed by this process. None of them
+//! outlives it.
 
 use crate::log::Log;
 use crate::nodes::platform;
@@ -19,22 +19,24 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// Controllers as processes of their own, in real time.
 pub struct Processes {
     names: Vec<String>,
     program: PathBuf,
-    /// Settings files; gone with this.
+    /// Directory of the settings files; removed on drop.
     dir: TempDir,
     children: Mutex<Vec<Option<Child>>>,
-    failed: Mutex<Vec<(usize, String)>>,
+    /// Controllers that could not be started, with the error.
+    spawn_errors: Mutex<Vec<(usize, String)>>,
     log: Log,
 }
 
 impl Processes {
     pub fn new(world: &World, operator: &Operator, log: &Log) -> anyhow::Result<Arc<Processes>> {
-        let dir = tempfile::tempdir().context("a directory for settings")?;
+        let dir = tempfile::tempdir().context("temporary directory for settings")?;
         let count = world.addresses.nodes.len();
         for node in 0..count {
-            // A port that is taken is told now, not by a controller that ends.
+            // A port that is in use is an error here, not the exit of a controller later.
             let (users, peers) = world.addresses.nodes[node];
             for at in [users, peers] {
                 TcpListener::bind(at).with_context(|| at.to_string())?;
@@ -46,32 +48,33 @@
         std::fs::write(dir.path().join("operator.yaml"), yaml)?;
         Ok(Arc::new(Processes {
             names: (0..count).map(|n| world.node_name(n)).collect(),
-            program: std::env::current_exe().context("this program")?,
+            program: std::env::current_exe().context("path of the executable")?,
             dir,
             children: Mutex::new((0..count).map(|_| None).collect()),
-            failed: Mutex::default(),
+            spawn_errors: Mutex::default(),
             log: log.clone(),
         }))
     }
 
-    /// Those that ended by themselves since the last look.
-    pub fn ended(&self) -> Vec<(usize, String)> {
-        let mut ended = std::mem::take(&mut *lock(&self.failed));
+    /// Takes the controllers that exited by themselves or could not be started since the last
+    /// call, with the cause.
+    pub fn take_exited(&self) -> Vec<(usize, String)> {
+        let mut exited = std::mem::take(&mut *lock(&self.spawn_errors));
         for (node, slot) in lock(&self.children).iter_mut().enumerate() {
             if let Some(child) = slot
                 && let Ok(Some(status)) = child.try_wait()
             {
-                ended.push((node, status.to_string()));
+                exited.push((node, status.to_string()));
                 *slot = None;
             }
         }
-        ended
+        exited
     }
 
-    /// Ends all of them.
+    /// Kills all controllers.
     pub fn stop(&self) {
         for slot in lock(&self.children).iter_mut() {
-            end(slot.take());
+            kill_and_wait(slot.take());
         }
     }
 
@@ -80,13 +83,13 @@
         if let Some(child) = &children[node]
             && let Some(pid) = Pid::from_raw(child.id().cast_signed())
         {
-            // One that has ended needs no signal.
+            // The error of a process that has already exited is ignored.
             let _ = kill_process(pid, signal);
         }
     }
 }
 
-fn end(child: Option<Child>) {
+fn kill_and_wait(child: Option<Child>) {
     if let Some(mut child) = child {
         let _ = child.kill();
         let _ = child.wait();
@@ -108,8 +111,8 @@
             .arg(self.dir.path().join(format!("{node}.toml")))
             .arg("--until-stdin-ends")
             .env("LOG_LEVEL", "info")
-            // Ctrl-C is for the tool; and a pipe that ends with it, however it
-            // ends, so that no controller stays behind.
+            // Ctrl-C must reach only this process. The pipe on stdin closes when this process
+            // ends, however it ends, so that no controller outlives it.
             .process_group(0)
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
@@ -121,19 +124,19 @@
                     let (log, name) = (self.log.clone(), self.names[node].clone());
                     std::thread::spawn(move || {
                         for line in BufReader::new(out).lines().map_while(Result::ok) {
-                            log.printed(&name, &line);
+                            log.append_printed(&name, &line);
                         }
                     });
                 }
                 lock(&self.children)[node] = Some(child);
             }
-            Err(e) => lock(&self.failed).push((node, e.to_string())),
+            Err(e) => lock(&self.spawn_errors).push((node, e.to_string())),
         }
     }
 
     fn kill(&self, node: usize) {
         let child = lock(&self.children)[node].take();
-        end(child);
+        kill_and_wait(child);
     }
 
     fn freeze(&self, node: usize) {
@@ -144,6 +147,6 @@
         self.signal(node, Signal::CONT);
     }
 
-    /// A processor can't be slowed from outside.
+    /// Does nothing: a process cannot be slowed down from outside.
     fn slow(&self, _: usize, _: f64) {}
 }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,11 +1,10 @@
-//! The report of a scenario: `report.json`, and a page with plots that needs
-//! nothing but itself.
+//! The report of a run: `report.json`, and a self-contained HTML page with plots.
 
 use crate::log::Log;
-use crate::play::Outcome;
 use crate::plot;
+use crate::run::Outcome;
 use crate::summary::{self, aim};
-use crate::timeline::{Account, Timeline, timeline};
+use crate::timeline::{CpuAccount, Timeline, timeline};
 use anyhow::Context as _;
 use cherrywood_checker::GroupFigures;
 use cherrywood_checker::settle::{End, tally};
@@ -17,43 +16,52 @@
 use std::io::BufWriter;
 use std::path::Path;
 
+/// Content of `report.json`.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub scenario: String,
     pub about: String,
     pub seed: u64,
     pub digest: String,
-    /// s that the scenario lasted, and that playing it took.
+    /// Virtual s that the scenario lasted, and real s that the run took.
     pub scenario_s: f64,
     pub real_s: f64,
+    /// Reason for which the run ended early.
     pub stopped: Option<String>,
     pub good: bool,
-    /// Jobs by their end.
+    /// Number of jobs, by final state.
     pub jobs: BTreeMap<&'static str, usize>,
     pub unsettled: Vec<String>,
-    pub broken: Vec<String>,
-    pub ended: Vec<String>,
-    /// Why the operators would count the day as failed.
+    /// Violations of the rules.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
+    /// Controllers that exited by themselves, with the cause.
+    #[serde(rename = "ended")]
+    pub exited: Vec<String>,
+    /// Reasons for which the operators would count the run as failed.
     pub failed: Vec<String>,
-    pub classes: BTreeMap<String, Class>,
+    pub classes: BTreeMap<String, ClassReport>,
     /// Every class and every team.
-    pub groups: Vec<Group>,
-    /// Jobs left waiting beside room between troubles.
+    pub groups: Vec<GroupReport>,
+    /// Jobs left waiting beside free capacity between faults.
     pub earlier_waits: usize,
+    /// Tasks started after the cancellation of their job was acknowledged.
     pub starts_after_cancel: u64,
-    pub least: Option<Least>,
-    pub aims: Vec<Reached>,
+    pub least: Option<LeastServed>,
+    pub aims: Vec<AimResult>,
     pub cost: f64,
     pub price: f64,
     pub useful_cpu_s: f64,
+    /// Keys and bytes in the key-value store at the end, and requests over its rates.
     pub state_keys: usize,
     pub state_bytes: usize,
     pub state_over_rate: u64,
     pub timeline: Timeline,
 }
 
+/// Figures of a job class.
 #[derive(Debug, Serialize)]
-pub struct Class {
+pub struct ClassReport {
     pub jobs: usize,
     pub done: usize,
     pub done_mean_s: f64,
@@ -62,27 +70,28 @@
     pub wait_p95_s: f64,
 }
 
-/// A class or a team.
+/// Figures of a class or a team.
 #[derive(Debug, Serialize)]
-pub struct Group {
+pub struct GroupReport {
     /// `class` or `team`.
     pub kind: &'static str,
     pub name: String,
     pub jobs: usize,
-    /// Share of the jobs that were wanted and could run that were done; of how many.
+    /// Share done of the jobs that were wanted and could run, and their number.
     pub served: f64,
     pub wanted: usize,
-    /// The same of a class's largest tenth.
+    /// The same for the largest tenth of the jobs of a class.
     pub largest_served: Option<f64>,
     pub largest_wanted: Option<usize>,
-    /// s.
+    /// Longest time, s, that a job waited beside free capacity while no fault was active, and
+    /// longest time in which no status query about an accepted job got a response.
     pub longest_wait_beside_room_s: f64,
     pub longest_without_answer_s: f64,
 }
 
-impl From<&GroupFigures> for Group {
-    fn from(figures: &GroupFigures) -> Group {
-        Group {
+impl From<&GroupFigures> for GroupReport {
+    fn from(figures: &GroupFigures) -> GroupReport {
+        GroupReport {
             kind: figures.kind.name(),
             name: figures.name.clone(),
             jobs: figures.jobs,
@@ -96,26 +105,27 @@
     }
 }
 
-/// The class or team served least: share of its jobs done in time, and the share that
+/// The class or team served least: the share of its jobs done in time, and the share that
 /// every class could have had.
 #[derive(Debug, Serialize)]
-pub struct Least {
+pub struct LeastServed {
     pub name: String,
     pub share: f64,
     pub bound: f64,
-    /// s until the last accepted job of the largest tenths of all classes began.
+    /// s until the last accepted job of the largest tenths of all classes started.
     pub longest_start_s: f64,
 }
 
+/// An aim of the deployment, with the value that was reached.
 #[derive(Debug, Serialize)]
-pub struct Reached {
+pub struct AimResult {
     pub aim: String,
     pub wanted: f64,
     pub got: f64,
     pub met: bool,
 }
 
-fn name(end: End) -> &'static str {
+fn end_name(end: End) -> &'static str {
     match end {
         End::Done => "done",
         End::Cancelled => "cancelled",
@@ -125,8 +135,9 @@
     }
 }
 
+/// Builds the report of a run.
 pub fn report(o: &Outcome) -> Report {
-    let open = o.settled.iter().filter(|(_, s)| s.end == End::Unsettled);
+    let unsettled = o.settled.iter().filter(|(_, s)| s.end == End::Unsettled);
     Report {
         scenario: o.scenario.name.clone(),
         about: o.scenario.about.clone(),
@@ -135,22 +146,22 @@
         scenario_s: o.scenario_s,
         real_s: o.real_s,
         stopped: o.stopped.clone(),
-        good: o.good(),
+        good: o.is_good(),
         jobs: tally(&o.settled)
             .into_iter()
-            .map(|(e, n)| (name(e), n))
+            .map(|(e, n)| (end_name(e), n))
             .collect(),
-        unsettled: open
+        unsettled: unsettled
             .map(|(id, s)| format!("{id}: {}", s.evidence))
             .collect(),
-        broken: o.breaches.iter().map(ToString::to_string).collect(),
-        ended: o.ended.clone(),
+        violations: o.violations.iter().map(ToString::to_string).collect(),
+        exited: o.exited.clone(),
         classes: o
             .aims
             .classes
             .iter()
             .map(|(n, c)| {
-                let c = Class {
+                let c = ClassReport {
                     jobs: c.jobs,
                     done: c.done,
                     done_mean_s: c.done_mean_s,
@@ -162,10 +173,10 @@
             })
             .collect(),
         failed: o.failures.iter().map(ToString::to_string).collect(),
-        groups: o.groups.iter().map(Group::from).collect(),
+        groups: o.groups.iter().map(GroupReport::from).collect(),
         earlier_waits: o.earlier_waits.len(),
         starts_after_cancel: o.starts_after_cancel,
-        least: o.least.clone().map(|l| Least {
+        least: o.least.clone().map(|l| LeastServed {
             name: l.name,
             share: l.share,
             bound: l.bound,
@@ -177,7 +188,7 @@
             .iter()
             .map(|r| {
                 let (aim, wanted) = aim(&r.aim);
-                Reached {
+                AimResult {
                     aim,
                     wanted,
                     got: r.got,
@@ -195,11 +206,13 @@
     }
 }
 
-/// Can a report be written there? Asked before a scenario is played.
+/// Creates the directory of a report and checks that files can be written to it. Called
+/// before the run, so that a report that cannot be written fails at once.
 pub fn prepare(dir: &Path) -> anyhow::Result<()> {
     let probe = dir.join("history.jsonl");
-    let made = fs::create_dir_all(dir).and_then(|()| File::create(&probe));
-    made.map(|_| ())
+    let created = fs::create_dir_all(dir).and_then(|()| File::create(&probe));
+    created
+        .map(|_| ())
         .with_context(|| format!("report directory {}", dir.display()))
 }
 
@@ -223,6 +236,7 @@
     Ok(())
 }
 
+/// Style sheet of the HTML pages.
 pub const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:960px;padding:0 1em;color:#222}\
 h1{font-size:1.5em}h2{font-size:1.1em;margin-top:2em}table{border-collapse:collapse}\
 td,th{padding:.2em .8em .2em 0;text-align:left;vertical-align:top}td.n,th.n{text-align:right}\
@@ -231,7 +245,7 @@
 
 fn page(r: &Report, o: &Outcome) -> Markup {
     let verdict = summary::verdict(o);
-    let plots = plot::all(&r.timeline);
+    let plots = plot::timeline_plots(&r.timeline);
     html! {
         (DOCTYPE)
         html lang="en" {
@@ -255,26 +269,26 @@
                          th.n { "wait s" } th.n { "95% s" } }
                     @for (class, c) in &r.classes {
                         tr { td { (class) } td.n { (c.jobs) } td.n { (c.done) }
-                             td.n { (fixed(c.done_mean_s)) } td.n { (fixed(c.done_p95_s)) }
-                             td.n { (fixed(c.wait_mean_s)) } td.n { (fixed(c.wait_p95_s)) } }
+                             td.n { (one_decimal(c.done_mean_s)) } td.n { (one_decimal(c.done_p95_s)) }
+                             td.n { (one_decimal(c.wait_mean_s)) } td.n { (one_decimal(c.wait_p95_s)) } }
                     }
                 }
-                (groups(o))
+                (group_table(o))
                 @if !r.failed.is_empty() {
-                    h2 { "A failed day" }
+                    h2 { "Failures" }
                     ul { @for f in &r.failed { li class="bad" { (f) } } }
                 }
-                @if !r.broken.is_empty() {
+                @if !r.violations.is_empty() {
                     h2 { "Rules broken" }
-                    ul { @for b in &r.broken { li class="bad" { (b) } } }
+                    ul { @for v in &r.violations { li class="bad" { (v) } } }
                 }
                 @if !r.unsettled.is_empty() {
                     h2 { "Unsettled" }
                     ul { @for u in &r.unsettled { li { (u) } } }
                 }
-                @if !r.ended.is_empty() {
-                    h2 { "Controllers that ended by themselves" }
-                    ul { @for e in &r.ended { li class="bad" { (e) } } }
+                @if !r.exited.is_empty() {
+                    h2 { "Controllers that exited by themselves" }
+                    ul { @for e in &r.exited { li class="bad" { (e) } } }
                 }
                 h2 { "Aims" }
                 table {
@@ -285,46 +299,47 @@
                     }
                 }
                 h2 { "Over time" }
-                p { "Shaded: troubles." }
+                p { "Shaded: faults." }
                 @for (title, svg) in &plots { h3 { (title) } (PreEscaped(svg)) }
-                h2 { "What every paid CPU-second bought" }
-                (account(&r.timeline.account))
-                h2 { "Money" }
+                h2 { "Use of paid CPU time" }
+                (account_table(&r.timeline.account))
+                h2 { "Cost" }
                 p { (format!("{:.2} spent, {:.1} CPU-hours of useful work, price {:.2}.",
                              r.cost, r.useful_cpu_s / 3600.0, r.price)) }
-                h2 { "State service" }
+                h2 { "Key-value store" }
                 p { (r.state_keys) " keys, " (r.state_bytes) " bytes at the end; "
                     (r.state_over_rate) " requests over its rates." }
                 footer { "digest " (r.digest) ": blake3 of history.jsonl, first 16 digits; "
-                         (fixed(r.scenario_s)) " s played in " (fixed(r.real_s)) " s" }
+                         (one_decimal(r.scenario_s)) " s simulated in " (one_decimal(r.real_s)) " s" }
             }
         }
     }
 }
 
-/// Classes and teams: who was served, and who waited.
-fn groups(o: &Outcome) -> Markup {
+/// Table of classes and teams: shares served and longest waits.
+fn group_table(o: &Outcome) -> Markup {
     html! {
         table {
             tr { th { "class or team" } th.n { "jobs" } th.n { "served" } th.n { "largest served" }
-                 th.n { "longest wait beside room, s" } th.n { "longest without an answer, s" } }
+                 th.n { "longest wait beside free capacity, s" } th.n { "longest without a response, s" } }
             @for g in &o.groups {
                 tr { td { (g.kind.name()) " " (g.name) } td.n { (g.jobs) }
                      td.n { (summary::share(Some(g.served))) } td.n { (summary::share(g.largest)) }
-                     td.n { (fixed(g.longest_wait_s)) } td.n { (fixed(g.longest_unanswered_s)) } }
+                     td.n { (one_decimal(g.longest_wait_s)) } td.n { (one_decimal(g.longest_unanswered_s)) } }
             }
         }
-        p { (o.starts_after_cancel) " tasks started after their job was told cancelled; "
-            (o.earlier_waits.len()) " jobs were left beside room between troubles." }
+        p { (o.starts_after_cancel) " tasks started after the cancellation of their job was acknowledged; "
+            (o.earlier_waits.len()) " jobs were left waiting beside free capacity between faults." }
     }
 }
 
-fn fixed(v: f64) -> String {
+fn one_decimal(v: f64) -> String {
     format!("{v:.1}")
 }
 
-fn account(all: &BTreeMap<String, Account>) -> Markup {
-    let share = |part: f64, a: &Account| {
+/// Table of the CPU time paid for, by use.
+fn account_table(accounts: &BTreeMap<String, CpuAccount>) -> Markup {
+    let share = |part: f64, a: &CpuAccount| {
         let sum = a.booting + a.fetching + a.useful + a.lost + a.idle;
         format!("{:.0}%", 100.0 * part / sum.max(1e-9))
     };
@@ -332,10 +347,10 @@
         table {
             tr { th { "type, zone, kind" } th.n { "CPU-hours" } th.n { "booting" } th.n { "fetching" }
                  th.n { "useful" } th.n { "lost" } th.n { "idle" } }
-            @for (place, a) in all {
+            @for (place, a) in accounts {
                 tr {
                     td { (place) }
-                    td.n { (fixed((a.booting + a.fetching + a.useful + a.lost + a.idle) / 3600.0)) }
+                    td.n { (one_decimal((a.booting + a.fetching + a.useful + a.lost + a.idle) / 3600.0)) }
                     td.n { (share(a.booting, a)) } td.n { (share(a.fetching, a)) }
                     td.n { (share(a.useful, a)) } td.n { (share(a.lost, a)) } td.n { (share(a.idle, a)) }
                 }
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/run.rs
@@ -1,7 +1,7 @@
-//! One scenario from its beginning to its end.
+//! Runs one scenario from start to end.
 
 use crate::log::Log;
-use crate::nodes::{InProcess, Shared};
+use crate::nodes::{InProcess, SharedInProcess};
 use crate::processes::Processes;
 use cherrywood_checker::settle::{Settled, settle};
 use cherrywood_checker::{
@@ -15,23 +15,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Virtual s between two looks at how the scenario goes.
-const LOOK_S: f64 = 0.25;
-/// s between two records of what waits.
-const WAITING_EVERY_S: f64 = 5.0;
-/// s after the last job settled, in which late answers are still heard.
-const AFTER_S: f64 = 3.0;
+/// Virtual s between two samples of the state of the run.
+const SAMPLE_INTERVAL_S: f64 = 0.25;
+/// s between two records of the waiting tasks in the history.
+const WAITING_INTERVAL_S: f64 = 5.0;
+/// Quiet period, s: a run ends when no job has been open for this long, so that late
+/// responses are still received.
+const QUIET_PERIOD_S: f64 = 3.0;
 
 #[derive(Debug, Clone, Default)]
 pub struct Options {
     pub seed: u64,
     pub operator: Operator,
-    /// Play with real processes on loopback, from this port on, in real time.
+    /// Runs the controllers as processes on loopback, from this port on, in real time.
     pub processes: Option<u16>,
 }
 
-/// What the watcher of a scenario may see, four times a virtual second.
-pub struct Scene<'a> {
+/// State of a run, passed to the observer four times a virtual second.
+pub struct RunView<'a> {
     pub world: &'a Arc<World>,
     pub state: &'a Arc<StateHost>,
     pub cloud: &'a Arc<Cloud>,
@@ -42,115 +43,121 @@
 
 /// Controllers as tasks of this process, or as processes of their own.
 pub enum Controllers {
-    Inside(Arc<InProcess>),
+    InProcess(Arc<InProcess>),
     Processes(Arc<Processes>),
 }
 
 impl Controllers {
-    /// How one looks from inside, where that can be seen.
-    pub fn view(&self, node: usize) -> Option<NodeStatus> {
+    /// Returns the status of a controller; none if it is down or runs as a process.
+    pub fn status(&self, node: usize) -> Option<NodeStatus> {
         match self {
-            Controllers::Inside(all) => all.view(node),
+            Controllers::InProcess(all) => all.status(node),
             Controllers::Processes(_) => None,
         }
     }
 
-    /// Those that ended by themselves since the last look, and why.
-    fn ended(&self) -> Vec<(usize, String)> {
+    /// Takes the controllers that exited by themselves since the last call, with the cause.
+    fn take_exited(&self) -> Vec<(usize, String)> {
         match self {
-            Controllers::Inside(all) => all.ended(),
-            Controllers::Processes(all) => all.ended(),
+            Controllers::InProcess(all) => all.take_exited(),
+            Controllers::Processes(all) => all.take_exited(),
         }
     }
 }
 
-/// Goes on, or why it ends early.
-pub type Verdict = Result<(), String>;
+/// Result of an observer: continue, or the reason for which the run ends early.
+pub type ObserverResult = Result<(), String>;
 
-/// How a scenario ended.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Outcome {
     pub scenario: Scenario,
     pub seed: u64,
     pub history: History,
     pub settled: BTreeMap<String, Settled>,
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Breach>,
     pub aims: Aims,
-    /// Why the operators would count the day as failed.
+    /// Reasons for which the operators would count the run as failed.
     pub failures: Vec<Failure>,
     /// Figures of each class and team.
     pub groups: Vec<GroupFigures>,
-    /// Jobs left waiting beside room before the last trouble was over: no breach.
+    /// Jobs left waiting beside free capacity before the last fault ended; not a violation.
     pub earlier_waits: Vec<Wait>,
-    /// Tasks that came onto machines after their job was told cancelled.
+    /// Tasks that were started on machines after the cancellation of their job was
+    /// acknowledged.
     pub starts_after_cancel: u64,
-    /// Who was served least, if the scenario asks.
+    /// The class or team served least, if the scenario asks for it.
     pub least: Option<Least>,
     pub digest: String,
-    /// s that the scenario lasted, and that playing it took.
+    /// Virtual s that the scenario lasted, and real s that the run took.
     pub scenario_s: f64,
     pub real_s: f64,
-    /// Why it ended early.
+    /// Reason for which the run ended early.
     pub stopped: Option<String>,
-    /// Controllers that ended by themselves.
-    pub ended: Vec<String>,
-    /// Keys and bytes in the state service at the end, and requests over its
-    /// rates.
+    /// Controllers that exited by themselves, with the cause.
+    pub exited: Vec<String>,
+    /// Keys and bytes in the key-value store at the end, and requests over its rates.
     pub state: (usize, usize),
     pub over_rate: u64,
 }
 
 impl Outcome {
+    /// Returns the number of jobs without a final state.
     pub fn unsettled(&self) -> usize {
         let open = |s: &&Settled| s.end == cherrywood_checker::End::Unsettled;
         self.settled.values().filter(open).count()
     }
 
-    /// Everything settled, no rule broken, and not a failed day?
-    pub fn good(&self) -> bool {
+    /// Whether every job settled, no rule was broken, the operators would not count the run
+    /// as failed, no controller exited by itself, and the run did not end early.
+    pub fn is_good(&self) -> bool {
         self.unsettled() == 0
-            && self.breaches.is_empty()
+            && self.violations.is_empty()
             && self.failures.is_empty()
-            && self.ended.is_empty()
+            && self.exited.is_empty()
             && self.stopped.is_none()
     }
 }
 
-/// Plays a scenario on this thread: in virtual time, or with real processes.
-pub fn play(
+/// Runs a scenario on this thread: in virtual time, or in real time with the controllers
+/// as processes.
+pub fn run(
     scenario: Scenario,
     options: &Options,
     log: &Log,
-    watch: &mut dyn FnMut(&Scene) -> Verdict,
+    observer: &mut dyn FnMut(&RunView) -> ObserverResult,
 ) -> anyhow::Result<Outcome> {
     let mut rt = tokio::runtime::Builder::new_current_thread();
     let rt = match options.processes {
-        // Nothing outside this thread: virtual time needs no other events.
+        // Virtual time needs no events from outside this thread, so no I/O driver.
         None => rt.enable_time().start_paused(true).build()?,
         Some(_) => rt.enable_all().build()?,
     };
-    let began = Instant::now();
-    let mut outcome = rt.block_on(run(scenario, options, log, watch))?;
-    outcome.real_s = began.elapsed().as_secs_f64();
+    let started = Instant::now();
+    let mut outcome = rt.block_on(run_async(scenario, options, log, observer))?;
+    outcome.real_s = started.elapsed().as_secs_f64();
     Ok(outcome)
 }
 
-async fn run(
+async fn run_async(
     scenario: Scenario,
     options: &Options,
     log: &Log,
-    watch: &mut dyn FnMut(&Scene) -> Verdict,
+    observer: &mut dyn FnMut(&RunView) -> ObserverResult,
 ) -> anyhow::Result<Outcome> {
     let scenario = scenario.with_draws(options.seed);
     let world = World::new(scenario.clone(), options.seed, options.processes);
-    log.begin();
+    log.start_clock();
     let state = StateHost::start(&world).await?;
     let cloud = Cloud::start(&world).await?;
     let users = Users::start(&world);
     let (controllers, nodes): (_, Arc<dyn Nodes>) = match options.processes {
         None => {
             let all = InProcess::new(&world, options.operator.clone());
-            (Controllers::Inside(all.clone()), Arc::new(Shared(all)))
+            (
+                Controllers::InProcess(all.clone()),
+                Arc::new(SharedInProcess(all)),
+            )
         }
         Some(_) => {
             let all = Processes::new(&world, &options.operator, log)?;
@@ -159,7 +166,7 @@
     };
     let troubles = Troubles::new(&world, &state, &cloud, &users, nodes);
     troubles.start();
-    let scene = Scene {
+    let view = RunView {
         world: &world,
         state: &state,
         cloud: &cloud,
@@ -167,39 +174,39 @@
         troubles: &troubles,
         controllers: &controllers,
     };
-    let mut quiet_since: Option<f64> = None;
-    let mut waiting_at = 0.0;
-    let mut ended = Vec::new();
+    let mut quiet_since_s: Option<f64> = None;
+    let mut next_waiting_s = 0.0;
+    let mut exited = Vec::new();
     loop {
-        tokio::time::sleep(Duration::from_secs_f64(LOOK_S)).await;
+        tokio::time::sleep(Duration::from_secs_f64(SAMPLE_INTERVAL_S)).await;
         let now = world.now_s();
-        for (node, why) in controllers.ended() {
-            ended.push(format!("{}: {why}", world.node_name(node)));
+        for (node, why) in controllers.take_exited() {
+            exited.push(format!("{}: {why}", world.node_name(node)));
             troubles.ended(node, &why);
         }
-        if now >= waiting_at {
-            waiting_at += WAITING_EVERY_S;
-            let views = (0..world.addresses.nodes.len()).filter_map(|n| controllers.view(n));
-            let leads = views.filter(|v| v.leading_term.is_some());
-            if let Some(leader) = leads.max_by_key(|v| v.leading_term) {
+        if now >= next_waiting_s {
+            next_waiting_s += WAITING_INTERVAL_S;
+            let statuses = (0..world.addresses.nodes.len()).filter_map(|n| controllers.status(n));
+            let leaders = statuses.filter(|v| v.leading_term.is_some());
+            if let Some(leader) = leaders.max_by_key(|v| v.leading_term) {
                 let levels = leader.pending_tasks_by_level;
                 world.record(What::Waiting { levels });
             }
         }
-        if let Err(why) = watch(&scene) {
+        if let Err(why) = observer(&view) {
             world.stop(&why);
         }
         if world.stopped().is_some() {
             break;
         }
-        let over = now >= scenario.play_s;
-        if over && world.open_jobs() == 0 {
-            let since = *quiet_since.get_or_insert(now);
-            if now - since >= AFTER_S {
+        let play_over = now >= scenario.play_s;
+        if play_over && world.open_jobs() == 0 {
+            let since = *quiet_since_s.get_or_insert(now);
+            if now - since >= QUIET_PERIOD_S {
                 break;
             }
         } else {
-            quiet_since = None;
+            quiet_since_s = None;
         }
         if now >= scenario.play_s + scenario.settle_s {
             break;
@@ -218,7 +225,7 @@
         settled: settle(&history.events),
         earlier_waits: checker.earlier_waits(),
         starts_after_cancel: checker.starts_after_cancel(),
-        breaches: checker.breaches,
+        violations: checker.breaches,
         failures: checker.failures,
         groups: checker.groups,
         least: checker.least,
@@ -228,7 +235,7 @@
         scenario_s,
         real_s: 0.0,
         stopped: world.stopped(),
-        ended,
+        exited,
         state: sizes,
         over_rate,
         scenario,
--- a/crates/simulation/src/search.rs
+++ b/crates/simulation/src/search.rs
@@ -1,8 +1,8 @@
-//! Many seeds of one scenario, to look for what nobody thought of.
+//! Search for failures: runs one scenario with many seeds.
 
 use crate::exit::{BAD_INPUT, BROKEN, GOOD};
 use crate::log::Log;
-use crate::play::{Options, Outcome, Scene, play};
+use crate::run::{Options, Outcome, RunView, run};
 use crate::{shrink, summary};
 use cherrywood_scenario::Scenario;
 use rayon::prelude::*;
@@ -10,23 +10,24 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use tracing::Level;
 
-/// Plays a scenario without a word about it; an error if it is interrupted.
-pub fn quietly(
+/// Runs a scenario without output. When `stop` is set, the run ends early and says so in
+/// [`Outcome::stopped`].
+pub fn run_silently(
     scenario: Scenario,
     options: &Options,
     stop: &AtomicBool,
 ) -> anyhow::Result<Outcome> {
     let log = Log::new(Level::WARN, None, false);
-    let mut watch = |_: &Scene| match stop.load(Ordering::Relaxed) {
+    let mut observer = |_: &RunView| match stop.load(Ordering::Relaxed) {
         true => Err("interrupted".to_string()),
         false => Ok(()),
     };
-    log.around(|| play(scenario, options, &log, &mut watch))
+    log.capture(|| run(scenario, options, &log, &mut observer))
 }
 
-/// Plays `seeds` of them, from the options' own on. Prints a line for each that was not
-/// good, with the command's seed to play it by, and in the end how many were. Each of
-/// those is shrunk to a file in `smallest`, if that is given.
+/// Runs `seeds` seeds, from that of the options on. Prints a line for each run that fails, with
+/// the seed that replays it, and finally their number. Each failed scenario is shrunk to a file
+/// in `smallest`, if that is given.
 pub fn search(
     scenario: &Scenario,
     options: &Options,
@@ -38,8 +39,8 @@
         eprintln!("cherrywood: --search: 1 to 1000000 is allowed, found {seeds}");
         return BAD_INPUT;
     }
-    let (played, jobs) = (AtomicU64::new(0), AtomicU64::new(0));
-    let one = |seed: u64| -> Option<bool> {
+    let (run_count, jobs) = (AtomicU64::new(0), AtomicU64::new(0));
+    let run_seed = |seed: u64| -> Option<bool> {
         if stop.load(Ordering::Relaxed) {
             return None;
         }
@@ -47,13 +48,13 @@
             seed,
             ..options.clone()
         };
-        match quietly(scenario.clone(), &options, stop) {
+        match run_silently(scenario.clone(), &options, stop) {
             Ok(o) if o.stopped.is_some() => None,
             Ok(o) => {
-                played.fetch_add(1, Ordering::Relaxed);
+                run_count.fetch_add(1, Ordering::Relaxed);
                 jobs.fetch_add(o.settled.len() as u64, Ordering::Relaxed);
-                if !o.good() {
-                    println!("seed {seed}: {}", what(&o));
+                if !o.is_good() {
+                    println!("seed {seed}: {}", describe(&o));
                     if let Some(dir) = smallest {
                         match shrink::write(dir, scenario, &options, &o, stop) {
                             Ok(path) => println!("seed {seed}: smallest in {}", path.display()),
@@ -61,7 +62,7 @@
                         }
                     }
                 }
-                Some(o.good())
+                Some(o.is_good())
             }
             Err(e) => {
                 println!("seed {seed}: {e:#}");
@@ -70,31 +71,32 @@
         }
     };
     let first = options.seed;
-    let found: Vec<bool> = (first..first.saturating_add(seeds))
+    let results: Vec<bool> = (first..first.saturating_add(seeds))
         .into_par_iter()
-        .filter_map(one)
+        .filter_map(run_seed)
         .collect();
-    let bad = found.iter().filter(|good| !**good).count();
+    let bad = results.iter().filter(|good| !**good).count();
     println!(
         "{}: {} of {seeds} scenarios played, {} jobs, {bad} not good",
         scenario.name,
-        played.into_inner(),
+        run_count.into_inner(),
         jobs.into_inner()
     );
-    if bad == 0 && found.len() as u64 == seeds {
+    if bad == 0 && results.len() as u64 == seeds {
         GOOD
     } else {
         BROKEN
     }
 }
 
-fn what(o: &Outcome) -> String {
-    let ended = o.ended.first().map(|e| format!(", {e}"));
-    let first = o.breaches.first().map(|b| format!(", first {b}"));
+/// Returns the verdict with the first controller that exited and the first violation.
+fn describe(o: &Outcome) -> String {
+    let exited = o.exited.first().map(|e| format!(", {e}"));
+    let first = o.violations.first().map(|v| format!(", first {v}"));
     format!(
         "{}{}{}",
         summary::verdict(o),
-        ended.unwrap_or_default(),
+        exited.unwrap_or_default(),
         first.unwrap_or_default()
     )
 }
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,52 +1,53 @@
-//! Makes a scenario that fails as small as it can be while it still fails in the same way:
-//! without the troubles that it doesn't need, and with the others shortened.
+//! Shrinks a failing scenario while it still fails in the same way: removes the faults that are
+//! not needed for the failure and shortens the others.
 
-use crate::play::{Options, Outcome};
-use crate::search::quietly;
+use crate::run::{Options, Outcome};
+use crate::search::run_silently;
 use cherrywood_checker::Rule;
 use cherrywood_scenario::{Scenario, Trouble};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Scenarios that are played at most for one that is shrunk.
-const MOST_PLAYED: u32 = 150;
-/// s and times below which nothing is shortened any more.
-const LEAST: f64 = 1.0;
-/// Fields of troubles that are shortened.
-const LENGTHS: [&str; 4] = ["for_s", "hang_s", "over_s", "times"];
-/// s by which play outlasts the last trouble, when it is shortened.
-const AFTER_S: f64 = 20.0;
+/// Runs at most for one scenario that is shrunk.
+const MAX_RUNS: u32 = 150;
+/// Smallest value, in s or times, to which a field is shortened.
+const MIN_LENGTH: f64 = 1.0;
+/// Fields of faults that are shortened.
+const LENGTH_FIELDS: [&str; 4] = ["for_s", "hang_s", "over_s", "times"];
+/// s that a shortened run lasts beyond the end of its last fault.
+const TIME_AFTER_FAULTS_S: f64 = 20.0;
 
 /// How a scenario fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
+    /// A rule was broken.
     Broken(Rule),
-    /// A controller ended by itself.
+    /// A controller exited by itself.
     Ended,
-    /// A job has no end.
+    /// A job has no final state.
     Unsettled,
 }
 
 impl Failure {
-    /// The first way in which it fails.
+    /// Returns the first failure of a run, if it fails.
     pub fn of(outcome: &Outcome) -> Option<Failure> {
-        let broken = outcome.breaches.first().map(|b| Failure::Broken(b.rule));
-        let ended = (!outcome.ended.is_empty()).then_some(Failure::Ended);
+        let broken = outcome.violations.first().map(|v| Failure::Broken(v.rule));
+        let exited = (!outcome.exited.is_empty()).then_some(Failure::Ended);
         let unsettled = (outcome.unsettled() > 0).then_some(Failure::Unsettled);
-        broken.or(ended).or(unsettled)
+        broken.or(exited).or(unsettled)
     }
 
-    /// Does it fail in this way, whatever else?
-    fn is_in(self, outcome: &Outcome) -> bool {
+    /// Whether a run fails in this way, possibly among others.
+    fn occurs_in(self, outcome: &Outcome) -> bool {
         match self {
-            Failure::Broken(rule) => outcome.breaches.iter().any(|b| b.rule == rule),
-            Failure::Ended => !outcome.ended.is_empty(),
+            Failure::Broken(rule) => outcome.violations.iter().any(|v| v.rule == rule),
+            Failure::Ended => !outcome.exited.is_empty(),
             Failure::Unsettled => outcome.unsettled() > 0,
         }
     }
 
-    /// A name for files.
+    /// Returns the name of the failure in file names.
     fn name(self) -> String {
         match self {
             Failure::Broken(rule) => rule.name().replace('_', "-"),
@@ -56,33 +57,33 @@
     }
 }
 
-/// Makes a scenario smaller by steps, each of which `fails` must confirm.
+/// Shrinks a scenario in steps. A step is kept if `fails` confirms that the result still fails.
 #[derive(Debug)]
 pub struct Shrinker<F> {
     smallest: Scenario,
     fails: F,
-    left: u32,
+    runs_left: u32,
 }
 
 impl<F: FnMut(&Scenario) -> bool> Shrinker<F> {
-    /// The smallest that is found of this scenario, which fails.
+    /// Returns the smallest variant found of a failing scenario.
     pub fn smallest(scenario: Scenario, fails: F) -> Scenario {
         let mut shrinker = Shrinker {
             smallest: scenario,
             fails,
-            left: MOST_PLAYED,
+            runs_left: MAX_RUNS,
         };
-        while shrinker.drop_troubles() | shrinker.shorten_troubles() {}
-        shrinker.shorten_play();
+        while shrinker.remove_faults() | shrinker.shorten_faults() {}
+        shrinker.shorten_run();
         shrinker.smallest
     }
 
-    /// Takes the candidate if it still fails.
-    fn try_one(&mut self, candidate: Scenario) -> bool {
-        if self.left == 0 {
+    /// Adopts the candidate if it still fails; returns whether it does.
+    fn try_candidate(&mut self, candidate: Scenario) -> bool {
+        if self.runs_left == 0 {
             return false;
         }
-        self.left -= 1;
+        self.runs_left -= 1;
         let fails = (self.fails)(&candidate);
         if fails {
             self.smallest = candidate;
@@ -90,65 +91,76 @@
         fails
     }
 
-    fn drop_troubles(&mut self) -> bool {
-        let mut any = false;
+    /// Tries to remove each fault; returns whether one was removed.
+    fn remove_faults(&mut self) -> bool {
+        let mut changed = false;
         for at in (0..self.smallest.troubles.len()).rev() {
             let mut candidate = self.smallest.clone();
             candidate.troubles.remove(at);
-            any |= self.try_one(candidate);
+            changed |= self.try_candidate(candidate);
         }
-        any
+        changed
     }
 
-    fn shorten_troubles(&mut self) -> bool {
-        let mut any = false;
+    /// Halves the lengths of each fault while the scenario still fails; returns whether a fault
+    /// was shortened.
+    fn shorten_faults(&mut self) -> bool {
+        let mut changed = false;
         for at in 0..self.smallest.troubles.len() {
             while let Some(shorter) = shorter(&self.smallest.troubles[at]) {
                 let mut candidate = self.smallest.clone();
                 candidate.troubles[at] = shorter;
-                if !self.try_one(candidate) {
+                if !self.try_candidate(candidate) {
                     break;
                 }
-                any = true;
+                changed = true;
             }
         }
-        any
+        changed
     }
 
-    fn shorten_play(&mut self) {
+    /// Tries to end the run soon after the last fault.
+    fn shorten_run(&mut self) {
         let ends = self.smallest.troubles.iter();
         let ends = ends.map(|t| t.at_s() + t.for_s().unwrap_or(0.0));
-        let last_s = ends.fold(0.0, f64::max) + AFTER_S;
+        let last_s = ends.fold(0.0, f64::max) + TIME_AFTER_FAULTS_S;
         if last_s < self.smallest.play_s {
             let mut candidate = self.smallest.clone();
             candidate.play_s = last_s;
-            self.try_one(candidate);
+            self.try_candidate(candidate);
         }
     }
 }
 
-/// The same trouble for half as long, unless it is short already.
-fn shorter(trouble: &Trouble) -> Option<Trouble> {
-    let mut value = serde_json::to_value(trouble).ok()?;
+/// Returns the fault with its lengths halved; none if they would fall below the minimum.
+fn shorter(fault: &Trouble) -> Option<Trouble> {
+    let mut value = serde_json::to_value(fault).ok()?;
     let fields = value.as_object_mut()?.values_mut().next()?;
-    let mut any = false;
-    for name in LENGTHS {
+    let mut changed = false;
+    for name in LENGTH_FIELDS {
         let Some(length) = fields.get_mut(name) else {
             continue;
         };
-        let Some(half) = length.as_f64().map(|l| l / 2.0).filter(|l| *l >= LEAST) else {
+        let Some(half) = length
+            .as_f64()
+            .map(|l| l / 2.0)
+            .filter(|l| *l >= MIN_LENGTH)
+        else {
             continue;
         };
         *length = match length.is_u64() {
             true => Value::from(half.floor() as u64),
             false => Value::from((half * 10.0).round() / 10.0),
         };
-        any = true;
+        changed = true;
     }
-    any.then(|| serde_json::from_value(value).ok()).flatten()
+    changed
+        .then(|| serde_json::from_value(value).ok())
+        .flatten()
 }
 
-/// Shrinks a scenario that failed, and writes the smallest as a file of plain troubles.
+/// Shrinks a scenario that failed, and writes the result to a file that lists every fault,
+/// without random draws. Returns the path.
 pub fn write(
     dir: &Path,
     scenario: &Scenario,
@@ -157,14 +169,14 @@
     stop: &AtomicBool,
 ) -> anyhow::Result<PathBuf> {
     let Some(failure) = Failure::of(outcome) else {
-        anyhow::bail!("it didn't fail");
+        anyhow::bail!("the run did not fail: nothing to shrink");
     };
     let fails = |candidate: &Scenario| {
         !stop.load(Ordering::Relaxed)
-            && quietly(candidate.clone(), options, stop).is_ok_and(|o| failure.is_in(&o))
+            && run_silently(candidate.clone(), options, stop).is_ok_and(|o| failure.occurs_in(&o))
     };
-    let plain = scenario.clone().with_draws(options.seed);
-    let mut smallest = Shrinker::smallest(plain, fails);
+    let without_draws = scenario.clone().with_draws(options.seed);
+    let mut smallest = Shrinker::smallest(without_draws, fails);
     let name = format!("{}-{}", failure.name(), options.seed);
     smallest.about = format!(
         "{failure:?}, found by {} with seed {}.",
--- a/crates/simulation/src/summary.rs
+++ b/crates/simulation/src/summary.rs
@@ -1,15 +1,16 @@
-//! What a scenario came to, for the terminal.
+//! Summary of a run for the terminal.
 
-use crate::play::Outcome;
+use crate::run::Outcome;
 use cherrywood_checker::GroupFigures;
 use cherrywood_checker::settle::{End, tally};
 use cherrywood_checker::starved::Share;
 use cherrywood_scenario::Aim;
 use std::fmt::Write as _;
 
-/// Breaches and unsettled jobs that are written out; the rest is counted.
-const SHOWN: usize = 10;
+/// Entries listed at most, for each of failures, violations and unsettled jobs.
+const MAX_LISTED: usize = 10;
 
+/// Returns the description of an aim and the value that it asks for.
 pub fn aim(a: &Aim) -> (String, f64) {
     match a {
         Aim::Wait {
@@ -37,12 +38,12 @@
     let settled = all - o.unsettled();
     format!(
         "settled {settled}/{all}, rules broken {}, digest {}",
-        o.breaches.len(),
+        o.violations.len(),
         o.digest
     )
 }
 
-/// A share of jobs with their counts, or a dash where there are none.
+/// Formats a share of jobs with their number, or a dash if there are none.
 pub fn share(share: Option<Share>) -> String {
     match share {
         Some(s) if s.wanted > 0 => format!("{:.2} of {}", s.value(), s.wanted),
@@ -50,7 +51,7 @@
     }
 }
 
-/// One class or team in a line.
+/// Formats the figures of a class or team as one line.
 fn group(g: &GroupFigures) -> String {
     let largest = match g.largest {
         Some(_) => format!(", largest {}", share(g.largest)),
@@ -68,6 +69,7 @@
     )
 }
 
+/// Returns the summary, without the last line ([`verdict`]).
 pub fn text(o: &Outcome) -> String {
     let mut out = String::new();
     let mut line = |name: &str, text: String| {
@@ -85,17 +87,17 @@
         line("stopped", why.clone());
     }
     let ends = tally(&o.settled);
-    let n = |e| ends.get(&e).copied().unwrap_or(0);
+    let count = |e| ends.get(&e).copied().unwrap_or(0);
     line(
         "jobs",
         format!(
             "{}: done {}, cancelled {}, refused {}, never accepted {}, unsettled {}",
             o.settled.len(),
-            n(End::Done),
-            n(End::Cancelled),
-            n(End::Refused),
-            n(End::NeverAccepted),
-            n(End::Unsettled)
+            count(End::Done),
+            count(End::Cancelled),
+            count(End::Refused),
+            count(End::NeverAccepted),
+            count(End::Unsettled)
         ),
     );
     for (class, c) in &o.aims.classes {
@@ -152,17 +154,17 @@
         let met = if r.met { "met" } else { "missed" };
         line("aim", format!("{what}: {:.3} of {wanted} {met}", r.got));
     }
-    for why in &o.ended {
+    for why in &o.exited {
         line("ended", why.clone());
     }
-    for failure in o.failures.iter().take(SHOWN) {
+    for failure in o.failures.iter().take(MAX_LISTED) {
         line("failed", failure.to_string());
     }
-    for b in o.breaches.iter().take(SHOWN) {
-        line("broken", b.to_string());
+    for violation in o.violations.iter().take(MAX_LISTED) {
+        line("broken", violation.to_string());
     }
-    let open = o.settled.iter().filter(|(_, s)| s.end == End::Unsettled);
-    for (id, s) in open.take(SHOWN) {
+    let unsettled = o.settled.iter().filter(|(_, s)| s.end == End::Unsettled);
+    for (id, s) in unsettled.take(MAX_LISTED) {
         line("unsettled", format!("{id}: {}", s.evidence));
     }
     out
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,10 +1,10 @@
-//! Whole scenarios, played in virtual time.
+//! Runs of whole scenarios in virtual time.
 
 use cherrywood_checker::{Rule, What};
 use cherrywood_node::settings::Settings;
 use cherrywood_scenario::Scenario;
 use cherrywood_simulation::log::Log;
-use cherrywood_simulation::{Options, Outcome, play, summary};
+use cherrywood_simulation::{Options, Outcome, run, summary};
 use std::path::{Path, PathBuf};
 use tracing::Level;
 
@@ -14,7 +14,7 @@
         ..Options::default()
     };
     let log = Log::new(Level::INFO, None, false);
-    log.around(|| play(scenario, &options, &log, &mut |_| Ok(())))
+    log.capture(|| run(scenario, &options, &log, &mut |_| Ok(())))
         .unwrap()
 }
 
@@ -28,28 +28,29 @@
     Scenario::load(&dir("").join(name)).unwrap()
 }
 
-/// All scenarios of a directory, each on a thread of its own.
+/// Runs every scenario of a directory with the seeds 1 to `seeds` and its own seed, each run on
+/// its own thread, and checks that all are good. Returns the number of runs.
 fn all_good(sub: &str, seeds: u64) -> usize {
     let files = std::fs::read_dir(dir(sub)).unwrap();
     let mut files: Vec<PathBuf> = files.map(|f| f.unwrap().path()).collect();
     files.retain(|f| f.extension().is_some_and(|e| e == "yaml"));
-    let played: Vec<Outcome> = std::thread::scope(|scope| {
-        let play = |f: &PathBuf, seed| {
+    let outcomes: Vec<Outcome> = std::thread::scope(|scope| {
+        let spawn = |f: &PathBuf, seed| {
             let scenario = Scenario::load(f).unwrap();
             scope.spawn(move || simulate(scenario, seed))
         };
-        let of = |f: &PathBuf| {
+        let seeds_of = |f: &PathBuf| {
             let own = Scenario::load(f).unwrap().seed;
             (1..=seeds).chain(own.filter(|seed| *seed > seeds))
         };
-        let scenarios = files.iter().flat_map(|f| of(f).map(move |s| (f, s)));
-        let all: Vec<_> = scenarios.map(|(f, s)| play(f, s)).collect();
+        let scenarios = files.iter().flat_map(|f| seeds_of(f).map(move |s| (f, s)));
+        let all: Vec<_> = scenarios.map(|(f, s)| spawn(f, s)).collect();
         all.into_iter().map(|t| t.join().unwrap()).collect()
     });
-    for o in &played {
-        assert!(o.good(), "{}", summary::text(o));
+    for o in &outcomes {
+        assert!(o.is_good(), "{}", summary::text(o));
     }
-    played.len()
+    outcomes.len()
 }
 
 #[test]
@@ -57,30 +58,32 @@
     assert!(all_good("", 1) >= 8);
 }
 
-/// One scenario for each of the operators' compound failures (docs/design.md).
+/// There is one scenario for each of the operators' compound failures (docs/design.md).
 #[test]
 fn every_compound_failure_settles_and_breaks_no_rule() {
     assert!(all_good("compound-failures", 2) >= 18);
 }
 
-/// With this seed a worker was due in less than a nanosecond, and time stood still.
+/// Guards against virtual time that stops: with this seed a worker was due in less than a
+/// nanosecond.
 #[test]
-fn a_scenario_goes_on_when_something_is_due_at_once() {
+fn virtual_time_advances_when_an_event_is_due_in_less_than_a_nanosecond() {
     let o = simulate(scenario("compound-failures/late-writes.yaml"), 33);
-    assert!(o.good(), "{}", summary::text(&o));
+    assert!(o.is_good(), "{}", summary::text(&o));
 }
 
-/// Each is a fault that a simulation found, and that was mended.
+/// Regression scenarios: each reproduces a fixed fault that a simulation found.
 #[test]
-fn what_simulations_found_stays_mended() {
+fn every_regression_scenario_settles_and_breaks_no_rule() {
     assert!(all_good("found", 4) >= 8);
 }
 
-/// Outage, late grants, lost and late answers, a crash of all, a zone cut.
+/// The scenario has an outage, late grants, lost and late responses, a crash of all controllers,
+/// and a partition of a zone.
 #[test]
 fn the_scenario_of_many_failures_replays_to_the_byte_and_another_seed_differs() {
     let first = simulate(scenario("many-failures.yaml"), 3);
-    assert!(first.good(), "{}", summary::text(&first));
+    assert!(first.is_good(), "{}", summary::text(&first));
     let again = simulate(scenario("many-failures.yaml"), 3);
     assert_eq!(first.digest, again.digest);
     assert_eq!(first.history.events, again.history.events);
@@ -88,7 +91,7 @@
         first.digest,
         simulate(scenario("many-failures.yaml"), 8).digest
     );
-    // It was bad: every trouble happened, and users and workers noticed.
+    // Every fault was injected and had effects on users and workers.
     let count =
         |is: &dyn Fn(&What) -> bool| first.history.events.iter().filter(|e| is(&e.what)).count();
     assert_eq!(count(&|w| matches!(w, What::Trouble { on: true, .. })), 8);
@@ -97,10 +100,10 @@
     assert!(count(&|w| matches!(w, What::LeaseEnds { .. })) > 0);
 }
 
-/// The checker sees who starves: with rank alone the flood's scenario is not good, and with
-/// floors of service it is (as a shipped scenario).
+/// The checker detects starvation: with rank alone the scenario `flood` is not good, and with
+/// floors of service it is (it is among the shipped scenarios).
 #[test]
-fn by_rank_alone_a_class_starves_in_the_flood() {
+fn by_rank_alone_a_class_starves_in_a_flood() {
     let options = Options {
         seed: 2,
         operator: Settings::parse_operator("op.yaml", "admission: {off: true, floors: false}")
@@ -110,73 +113,74 @@
     let log = Log::new(Level::INFO, None, false);
     let scenario = scenario("flood.yaml");
     let o = log
-        .around(|| play(scenario, &options, &log, &mut |_| Ok(())))
+        .capture(|| run(scenario, &options, &log, &mut |_| Ok(())))
         .unwrap();
-    let starved = o.breaches.iter().filter(|b| b.rule == Rule::Starved);
+    let starved = o.violations.iter().filter(|v| v.rule == Rule::Starved);
     assert!(starved.count() > 0, "{}", summary::text(&o));
     assert!(o.least.is_some_and(|l| l.share < 0.5 && l.bound > 0.9));
 }
 
-/// A scenario that ends before its jobs do says so, and is not good.
+/// A run that ends before its jobs reports them as unsettled, and is not good.
 #[test]
-fn what_is_not_settled_is_counted_as_such() {
+fn jobs_without_a_final_state_are_counted_as_unsettled() {
     let short = Scenario {
         settle_s: 0.0,
         ..scenario("quiet.yaml").first(60.0)
     };
     let o = simulate(short, 1);
-    assert!(!o.good() && o.unsettled() > 0);
+    assert!(!o.is_good() && o.unsettled() > 0);
     assert!(summary::verdict(&o).contains("rules broken 0"));
 }
 
-/// Drawn compound failures on drawn deployments; hundreds are played outside CI.
+/// Compound failures are drawn on drawn deployments. Hundreds of seeds are run outside CI.
 #[test]
 fn drawn_compound_failures_settle_and_break_no_rule() {
     let scenario = scenario("long/compound.yaml");
-    let played: Vec<Outcome> = std::thread::scope(|scope| {
-        let play = |seed| {
+    let outcomes: Vec<Outcome> = std::thread::scope(|scope| {
+        let spawn = |seed| {
             let scenario = scenario.clone();
             scope.spawn(move || simulate(scenario, seed))
         };
-        let all: Vec<_> = (1..=4).map(play).collect();
+        let all: Vec<_> = (1..=4).map(spawn).collect();
         all.into_iter().map(|t| t.join().unwrap()).collect()
     });
-    for o in &played {
-        assert!(o.good(), "{}", summary::text(o));
+    for o in &outcomes {
+        assert!(o.is_good(), "{}", summary::text(o));
     }
 }
 
-/// Tasks that waited for the next leader went on in another order each time (seed 40).
+/// Guards against runs that differ: tasks that waited for the next leader continued in another
+/// order each time (seed 40).
 #[test]
 fn twelve_drawn_seeds_replay_to_the_byte() {
     let scenario = scenario("long/compound.yaml");
     let digest = |seed| (seed, simulate(scenario.clone(), seed).digest);
     let digest = &digest;
     let seeds = 34..46;
-    let played: Vec<_> = std::thread::scope(|scope| {
+    let results: Vec<_> = std::thread::scope(|scope| {
         let all: Vec<_> = seeds
             .map(|seed| [(); 2].map(|()| scope.spawn(move || digest(seed))))
             .collect();
         all.into_iter()
-            .map(|twice| twice.map(|played| played.join().unwrap()))
+            .map(|twice| twice.map(|run| run.join().unwrap()))
             .collect()
     });
-    for [first, again] in played {
+    for [first, again] in results {
         assert_eq!(first, again);
     }
 }
 
-/// After 94 s without the store a job's first poll failed again, since a response of the store was
-/// lost, and the job was forgotten.
+/// Guards against a forgotten job: after 94 s without the key-value store the first status query
+/// of the job failed again, since a response of the store was lost.
 #[test]
 fn no_job_is_forgotten_where_responses_are_lost_after_a_long_outage() {
     for seed in [2, 98] {
         let o = simulate(scenario("long/forgotten-98.yaml"), seed);
-        assert!(o.good(), "{}", summary::text(&o));
+        assert!(o.is_good(), "{}", summary::text(&o));
     }
 }
 
-/// What a seed draws, written out, is played as when it is drawn.
+/// A scenario with the draws of a seed written out has the same run as one that draws them.
 #[test]
 fn a_scenario_with_its_draws_written_out_replays_to_the_byte() {
     let drawn = scenario("long/compound.yaml").first(60.0);
--- a/crates/simulation/tests/shrink.rs
+++ b/crates/simulation/tests/shrink.rs
@@ -1,4 +1,4 @@
-//! A scenario that fails is made as small as it can be while it still does.
+//! Tests of shrinking a scenario that fails.
 
 use cherrywood_scenario::{Scenario, Trouble};
 use cherrywood_simulation::shrink::{self, Failure, Shrinker};
@@ -15,7 +15,7 @@
     Scenario::parse("n.yaml", text).unwrap()
 }
 
-/// Fails with an outage of 9 s or more and ends of a leader.
+/// A failure that needs an outage of 9 s or more and exits of a leader.
 fn fails(scenario: &Scenario) -> bool {
     let outage = |t: &Trouble| matches!(t, Trouble::StateOutage(t) if t.for_s >= 9.0);
     let ends = |t: &Trouble| matches!(t, Trouble::NodeEnds(_));
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn troubles_that_are_not_needed_go_and_the_others_are_shortened() {
-    let mut played = 0;
+fn unneeded_faults_are_removed_and_the_others_are_shortened() {
+    let mut runs = 0;
     let smallest = Shrinker::smallest(scenario(), |candidate: &Scenario| {
-        played += 1;
+        runs += 1;
         fails(candidate)
     });
     let left: Vec<(&str, Option<f64>)> = smallest
@@ -38,21 +38,21 @@
         left,
         [("state_outage", Some(10.0)), ("node_ends", Some(1.0))]
     );
-    assert_eq!(smallest.play_s, 51.0, "20 s after the last");
-    assert!(played <= 150, "{played}");
+    assert_eq!(smallest.play_s, 51.0, "20 s after the last fault");
+    assert!(runs <= 150, "{runs}");
 }
 
 #[test]
-fn one_that_fails_is_written_as_a_file_that_fails_in_the_same_way() {
+fn a_failing_scenario_is_written_as_a_file_that_fails_in_the_same_way() {
     let stop = AtomicBool::new(false);
     let options = Options {
         seed: 7,
         ..Options::default()
     };
     let scenario = scenario().first(40.0);
-    let outcome = search::quietly(scenario.clone(), &options, &stop).unwrap();
+    let outcome = search::run_silently(scenario.clone(), &options, &stop).unwrap();
     let failure = Failure::of(&outcome);
-    assert!(failure.is_some(), "it has no time to settle");
+    assert!(failure.is_some(), "the jobs have no time to settle");
     let dir = tempfile::tempdir().unwrap();
     let path = shrink::write(dir.path(), &scenario, &options, &outcome, &stop).unwrap();
     assert!(path.to_str().unwrap().ends_with("-7.yaml"));
@@ -60,6 +60,6 @@
     assert_eq!(smallest.seed, Some(7));
     assert!(smallest.troubles.len() < scenario.troubles.len());
     assert!(smallest.drawn.is_empty() && smallest.drawn_compound.is_none());
-    let again = search::quietly(smallest, &options, &stop).unwrap();
+    let again = search::run_silently(smallest, &options, &stop).unwrap();
     assert_eq!(Failure::of(&again), failure);
 }
