--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -5,7 +5,8 @@
 use crate::processes::Processes;
 use cherrywood_checker::settle::{Settled, settle};
 use cherrywood_checker::{
-    Aims, Breach, Checker, Failure, GroupFigures, History, Least, Wait, What, aims,
+    Checker, Failure, GroupFigures, History, LeastServed, Measurements, Violation, Wait, What,
+    measurements,
 };
 use cherrywood_emulator::{Cloud, Nodes, StateHost, Troubles, Users, World};
 use cherrywood_node::node::NodeStatus;
@@ -75,8 +76,8 @@
     pub seed: u64,
     pub history: History,
     pub settled: BTreeMap<String, Settled>,
-    pub violations: Vec<Breach>,
-    pub aims: Aims,
+    pub violations: Vec<Violation>,
+    pub aims: Measurements,
     /// Reasons for which the operators would count the run as failed.
     pub failures: Vec<Failure>,
     /// Figures of each class and team.
@@ -87,7 +88,7 @@
     /// acknowledged.
     pub starts_after_cancel: u64,
     /// The class or team served least, if the scenario asks for it.
-    pub least: Option<Least>,
+    pub least: Option<LeastServed>,
     pub digest: String,
     /// Virtual s that the scenario lasted, and real s that the run took.
     pub scenario_s: f64,
@@ -219,17 +220,17 @@
     let scenario_s = world.now_s();
     let (sizes, over_rate) = (state.size(), state.over_rate());
     let history = world.finish();
-    let checker = Checker::of(&history.events);
+    let checker = Checker::from_events(&history.events);
     Ok(Outcome {
         seed: options.seed,
         settled: settle(&history.events),
         earlier_waits: checker.earlier_waits(),
         starts_after_cancel: checker.starts_after_cancel(),
-        violations: checker.breaches,
+        violations: checker.violations,
         failures: checker.failures,
         groups: checker.groups,
         least: checker.least,
-        aims: aims::count(&history.events),
+        aims: measurements::measure(&history.events),
         digest: history.digest(),
         history,
         scenario_s,
