--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -168,19 +168,19 @@
             ]
         };
         let mut classes: BTreeMap<String, [f64; MEASURES.len()]> = outcome
-            .aims
+            .measurements
             .classes
             .iter()
             .map(|(n, c)| (n.clone(), figures(c)))
             .collect();
-        classes.insert(ALL_CLASSES.to_string(), figures(&outcome.aims.all));
+        classes.insert(ALL_CLASSES.to_string(), figures(&outcome.measurements.all));
         Ok(Row {
             key: self.key(cell),
             cell: cell.clone(),
             broken: outcome.violations.len(),
             unsettled: outcome.unsettled(),
             digest: outcome.digest,
-            price: outcome.aims.price,
+            price: outcome.measurements.price,
             classes,
         })
     }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -47,7 +47,7 @@
     pub earlier_waits: usize,
     /// Tasks started after the cancellation of their job was acknowledged.
     pub starts_after_cancel: u64,
-    pub least: Option<LeastServed>,
+    pub least: Option<LeastServedReport>,
     pub aims: Vec<AimResult>,
     pub cost: f64,
     pub price: f64,
@@ -108,7 +108,7 @@
 /// The class or team served least: the share of its jobs done in time, and the share that
 /// every class could have had.
 #[derive(Debug, Serialize)]
-pub struct LeastServed {
+pub struct LeastServedReport {
     pub name: String,
     pub share: f64,
     pub bound: f64,
@@ -157,7 +157,7 @@
         violations: o.violations.iter().map(ToString::to_string).collect(),
         exited: o.exited.clone(),
         classes: o
-            .aims
+            .measurements
             .classes
             .iter()
             .map(|(n, c)| {
@@ -176,14 +176,14 @@
         groups: o.groups.iter().map(GroupReport::from).collect(),
         earlier_waits: o.earlier_waits.len(),
         starts_after_cancel: o.starts_after_cancel,
-        least: o.least.clone().map(|l| LeastServed {
+        least: o.least.clone().map(|l| LeastServedReport {
             name: l.name,
             share: l.share,
             bound: l.bound,
             longest_start_s: l.longest_start_s,
         }),
         aims: o
-            .aims
+            .measurements
             .reached
             .iter()
             .map(|r| {
@@ -196,9 +196,9 @@
                 }
             })
             .collect(),
-        cost: o.aims.cost,
-        price: o.aims.price,
-        useful_cpu_s: o.aims.useful_cpu_s,
+        cost: o.measurements.cost,
+        price: o.measurements.price,
+        useful_cpu_s: o.measurements.useful_cpu_s,
         state_keys: o.state.0,
         state_bytes: o.state.1,
         state_over_rate: o.over_rate,
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -77,7 +77,7 @@
     pub history: History,
     pub settled: BTreeMap<String, Settled>,
     pub violations: Vec<Violation>,
-    pub aims: Measurements,
+    pub measurements: Measurements,
     /// Reasons for which the operators would count the run as failed.
     pub failures: Vec<Failure>,
     /// Figures of each class and team.
@@ -230,7 +230,7 @@
         failures: checker.failures,
         groups: checker.groups,
         least: checker.least,
-        aims: measurements::measure(&history.events),
+        measurements: measurements::measure(&history.events),
         digest: history.digest(),
         history,
         scenario_s,
--- a/crates/simulation/src/summary.rs
+++ b/crates/simulation/src/summary.rs
@@ -100,7 +100,7 @@
             count(End::Unsettled)
         ),
     );
-    for (class, c) in &o.aims.classes {
+    for (class, c) in &o.measurements.classes {
         line(
             "",
             format!(
@@ -134,9 +134,9 @@
         "money",
         format!(
             "{:.2} spent, {:.0} CPU-hours of useful work, price {:.2}",
-            o.aims.cost,
-            o.aims.useful_cpu_s / 3600.0,
-            o.aims.price
+            o.measurements.cost,
+            o.measurements.useful_cpu_s / 3600.0,
+            o.measurements.price
         ),
     );
     if let Some(l) = &o.least {
@@ -149,7 +149,7 @@
             ),
         );
     }
-    for r in &o.aims.reached {
+    for r in &o.measurements.reached {
         let (what, wanted) = aim(&r.aim);
         let met = if r.met { "met" } else { "missed" };
         line("aim", format!("{what}: {:.3} of {wanted} {met}", r.got));
