--- a/crates/net/src/rate_limiter.rs
+++ b/crates/net/src/rate_limiter.rs
@@ -1,30 +1,32 @@
-//! A controller's share of a rate that all controllers divide among themselves.
+//! Rate limiter with priorities, for a controller's share of a rate that all controllers
+//! divide among themselves.
 
 use crate::lock;
 use cherrywood_limits as limits;
 use std::sync::{Mutex, MutexGuard};
 
-/// Priority of a request; lower ones leave more of the token bucket to higher ones.
+/// Priority of a request; lower priorities leave more of the token bucket to higher ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestPriority {
     /// Users' requests, final states and leadership.
     Critical,
-    /// Status queries of users: many share a read, and they are delayed before placements.
-    Poll,
+    /// Status queries of users. Many of them share a read, and they are delayed before
+    /// placements are.
+    StatusQuery,
     /// Placements.
     Placement,
     /// Progress of jobs.
     Progress,
-    /// Snapshots, which only help a new leader.
+    /// Snapshots, which only speed up the recovery of a new leader.
     Snapshot,
 }
 
 impl RequestPriority {
-    /// Share of the bucket that such a request must leave for higher priorities.
+    /// Share of the bucket that a request of this priority must leave for higher ones.
     fn reserved_share(self) -> f64 {
         match self {
             RequestPriority::Critical => 0.0,
-            RequestPriority::Poll => 0.3,
+            RequestPriority::StatusQuery => 0.3,
             RequestPriority::Placement => 0.15,
             RequestPriority::Progress => 0.35,
             RequestPriority::Snapshot => 0.6,
@@ -32,39 +34,40 @@
     }
 }
 
-/// Tokens within which a level counts as reached, against rounding.
+/// Tolerance in tokens when levels are compared, against rounding errors.
 const TOLERANCE: f64 = 1e-9;
 
-/// Shortest wait in seconds that is asked for.
+/// Minimum wait in seconds that a caller is given.
 const WAIT_MIN_S: f64 = 0.002;
 
-/// Rate below which waits are computed as if it were this.
+/// Lower bound of the rate, in tokens per second, that waits are computed with.
 const RATE_MIN: f64 = 0.001;
 
 #[derive(Debug)]
 struct TokenBucket {
-    /// Tokens per second, and the most that the bucket holds.
+    /// Tokens per second, and also the capacity of the bucket in tokens.
     rate: f64,
     level: f64,
     refilled_at: f64,
-    /// Tokens that a critical request waits for, and when it last asked for them.
-    owed: f64,
-    owed_since: f64,
+    /// Tokens that a critical request waits for.
+    critical_tokens: f64,
+    /// When that request last asked for them.
+    last_critical_attempt_at: f64,
 }
 
-/// A token bucket that holds one second's worth of its rate. It is locked for moments only.
+/// A token bucket that holds one second's worth of its rate. Its lock is held only briefly.
 #[derive(Debug)]
 pub struct RateLimiter(Mutex<TokenBucket>);
 
 impl RateLimiter {
-    /// A full bucket with a rate in tokens per second.
+    /// Creates a full bucket with a rate in tokens per second.
     pub fn new(rate: f64) -> Self {
         RateLimiter(Mutex::new(TokenBucket {
             rate,
             level: rate,
             refilled_at: 0.0,
-            owed: 0.0,
-            owed_since: 0.0,
+            critical_tokens: 0.0,
+            last_critical_attempt_at: 0.0,
         }))
     }
 
@@ -73,7 +76,7 @@
         self.bucket().rate = rate;
     }
 
-    /// The rate in tokens per second.
+    /// Returns the rate in tokens per second.
     pub fn rate(&self) -> f64 {
         self.bucket().rate
     }
@@ -82,33 +85,34 @@
         lock(&self.0)
     }
 
-    /// Takes `tokens` now and returns None, or the seconds to wait before asking again.
+    /// Takes `tokens` and returns None, or returns the seconds to wait before the next attempt.
     /// `now` is in seconds on a steady clock.
     pub fn try_acquire(&self, priority: RequestPriority, tokens: f64, now: f64) -> Option<f64> {
         let mut bucket = self.bucket();
         bucket.refill(now);
         let critical = priority == RequestPriority::Critical;
         // While a critical request waits, the bucket fills for it: otherwise many small
-        // requests of lower priority would keep a larger critical one waiting for ever.
-        let owed = if critical || now - bucket.owed_since > limits::STORE_TIMEOUT_S {
-            0.0
-        } else {
-            bucket.owed
-        };
+        // requests of lower priority would starve a larger critical one.
+        let reserved_for_critical =
+            if critical || now - bucket.last_critical_attempt_at > limits::STORE_TIMEOUT_S {
+                0.0
+            } else {
+                bucket.critical_tokens
+            };
         let reserved = priority.reserved_share() * bucket.rate;
-        // A request larger than the bucket may pass when the bucket is full.
-        let needed = (tokens + reserved + owed).min(bucket.rate);
-        let claimed = owed > 0.0 && bucket.level < owed + tokens;
+        // A request for more tokens than the bucket holds may pass when the bucket is full.
+        let needed = (tokens + reserved + reserved_for_critical).min(bucket.rate);
+        let claimed = reserved_for_critical > 0.0 && bucket.level < reserved_for_critical + tokens;
         if bucket.level + TOLERANCE >= needed && !claimed {
             bucket.level -= tokens;
             if critical {
-                bucket.owed = 0.0;
+                bucket.critical_tokens = 0.0;
             }
             return None;
         }
         if critical {
-            bucket.owed = bucket.owed.max(tokens.min(bucket.rate));
-            bucket.owed_since = now;
+            bucket.critical_tokens = bucket.critical_tokens.max(tokens.min(bucket.rate));
+            bucket.last_critical_attempt_at = now;
         }
         Some(((needed - bucket.level) / bucket.rate.max(RATE_MIN)).max(WAIT_MIN_S))
     }
@@ -116,8 +120,8 @@
 
 impl TokenBucket {
     fn refill(&mut self, now: f64) {
-        let earned = (now - self.refilled_at).max(0.0) * self.rate;
-        self.level = (self.level + earned).min(self.rate);
+        let added = (now - self.refilled_at).max(0.0) * self.rate;
+        self.level = (self.level + added).min(self.rate);
         self.refilled_at = now;
     }
 }
--- a/crates/simulation/src/live.rs
+++ b/crates/simulation/src/live.rs
@@ -95,7 +95,7 @@
                 name: world.node_name(n),
                 zone: world.node_zone(n),
                 state,
-                healthy: run.users.healthy(n),
+                healthy: run.users.is_healthy(n),
                 term: status.as_ref().and_then(|v| v.leading_term),
                 granted_machines: status.as_ref().map_or(0, |v| v.granted_machines),
             }
@@ -120,7 +120,7 @@
             .filter(|t| t.at_s() > now_s)
             .take(UPCOMING_SHOWN);
         let (hourly, spent) = run.cloud.spending();
-        let (submitted, broken, last_violation) = world.look(|h, j| {
+        let (submitted, broken, last_violation) = world.inspect(|h, j| {
             let is_submission =
                 |e: &&cherrywood_checker::Event| matches!(e.what, What::Submitted { .. });
             let submitted = h.events.iter().filter(is_submission).count();
@@ -138,7 +138,7 @@
                 .map(|v| v.pending_tasks_by_level.clone())
                 .unwrap_or_default(),
             teams: leader.map(|v| v.team_cpus.clone()).unwrap_or_default(),
-            active_faults: world.now_in(|t: &Trouble| Some(t.name().to_string())),
+            active_faults: world.active_faults(|t: &Trouble| Some(t.name().to_string())),
             upcoming_faults: upcoming.map(|t| (t.at_s(), t.name().to_string())).collect(),
             broken,
             last_violation,
--- a/crates/simulation/src/log.rs
+++ b/crates/simulation/src/log.rs
@@ -3,7 +3,7 @@
 
 use cherrywood_checker::history::Event;
 use cherrywood_checker::{History, What};
-use cherrywood_emulator::proc;
+use cherrywood_emulator::process;
 use std::collections::VecDeque;
 use std::fmt::{self, Write as _};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -133,7 +133,7 @@
 
     /// Appends a line of the controller that is running on this thread.
     fn append_current(&self, level: Level, text: String, to_job_trace: bool) {
-        let node = proc::current().unwrap_or_else(|| "tool".into());
+        let node = process::current().unwrap_or_else(|| "tool".into());
         self.append(&node, level, text, to_job_trace);
     }
 
--- a/crates/simulation/src/nodes.rs
+++ b/crates/simulation/src/nodes.rs
@@ -4,8 +4,8 @@
 use cherrywood_control::settings::{
     CloudLimits, NextLimits, Objective, StateLimits, Team, Workers,
 };
-use cherrywood_emulator::fabric::Role;
-use cherrywood_emulator::{Nodes, Proc, World};
+use cherrywood_emulator::network::Role;
+use cherrywood_emulator::{ControllerSupervisor, Process, World};
 use cherrywood_node::node::{Node, NodeStatus};
 use cherrywood_node::settings::{
     Deployment, Limits, Member, Operator, Platform, Services, Settings,
@@ -106,7 +106,7 @@
 /// A controller; without a process while it is down.
 #[derive(Debug, Default)]
 struct Slot {
-    proc: Option<Arc<Proc>>,
+    proc: Option<Arc<Process>>,
     node: Arc<Mutex<Weak<Node>>>,
 }
 
@@ -142,16 +142,18 @@
     }
 }
 
-/// Implements [`Nodes`] for shared [`InProcess`] controllers.
+/// Implements [`ControllerSupervisor`] for shared [`InProcess`] controllers.
 pub struct SharedInProcess(pub Arc<InProcess>);
 
-impl Nodes for SharedInProcess {
+impl ControllerSupervisor for SharedInProcess {
     fn start(&self, node: usize) {
         let controllers = &self.0;
         let name = controllers.world.node_name(node);
         let zone = controllers.world.node_zone(node);
         let ip = controllers.world.addresses.nodes[node].0.ip();
-        let proc = controllers.world.proc(&name, ip, Role::Node, Some(&zone));
+        let proc = controllers
+            .world
+            .process(&name, ip, Role::Node, Some(&zone));
         let settings = Settings {
             platform: platform(&controllers.world, node),
             operator: controllers.operator.clone(),
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -8,7 +8,7 @@
     Checker, Failure, GroupFigures, History, LeastServed, Measurements, Violation, Wait, What,
     measurements,
 };
-use cherrywood_emulator::{Cloud, Nodes, StateHost, Troubles, Users, World};
+use cherrywood_emulator::{Cloud, ControllerSupervisor, FaultInjector, StateService, Users, World};
 use cherrywood_node::node::NodeStatus;
 use cherrywood_node::settings::Operator;
 use cherrywood_scenario::Scenario;
@@ -35,10 +35,10 @@
 /// State of a run, passed to the observer four times a virtual second.
 pub struct RunView<'a> {
     pub world: &'a Arc<World>,
-    pub state: &'a Arc<StateHost>,
+    pub state: &'a Arc<StateService>,
     pub cloud: &'a Arc<Cloud>,
     pub users: &'a Arc<Users>,
-    pub troubles: &'a Arc<Troubles>,
+    pub troubles: &'a Arc<FaultInjector>,
     pub controllers: &'a Controllers,
 }
 
@@ -149,10 +149,10 @@
     let scenario = scenario.with_draws(options.seed);
     let world = World::new(scenario.clone(), options.seed, options.processes);
     log.start_clock();
-    let state = StateHost::start(&world).await?;
+    let state = StateService::start(&world).await?;
     let cloud = Cloud::start(&world).await?;
     let users = Users::start(&world);
-    let (controllers, nodes): (_, Arc<dyn Nodes>) = match options.processes {
+    let (controllers, nodes): (_, Arc<dyn ControllerSupervisor>) = match options.processes {
         None => {
             let all = InProcess::new(&world, options.operator.clone());
             (
@@ -165,7 +165,7 @@
             (Controllers::Processes(all.clone()), all)
         }
     };
-    let troubles = Troubles::new(&world, &state, &cloud, &users, nodes);
+    let troubles = FaultInjector::new(&world, &state, &cloud, &users, nodes);
     troubles.start();
     let view = RunView {
         world: &world,
@@ -183,7 +183,7 @@
         let now = world.now_s();
         for (node, why) in controllers.take_exited() {
             exited.push(format!("{}: {why}", world.node_name(node)));
-            troubles.ended(node, &why);
+            troubles.controller_exited(node, &why);
         }
         if now >= next_waiting_s {
             next_waiting_s += WAITING_INTERVAL_S;
@@ -216,7 +216,7 @@
     if let Controllers::Processes(all) = &controllers {
         all.stop();
     }
-    cloud.close();
+    cloud.return_all_machines();
     let scenario_s = world.now_s();
     let (sizes, over_rate) = (state.size(), state.over_rate());
     let history = world.finish();
