--- a/crates/simulation/src/live.rs
+++ b/crates/simulation/src/live.rs
@@ -86,7 +86,7 @@
         let count = world.addresses.nodes.len();
         let statuses: Vec<_> = (0..count).map(|n| run.controllers.status(n)).collect();
         let controllers = statuses.iter().enumerate().map(|(n, status)| {
-            let state = match (run.troubles.is_up(n), run.troubles.is_frozen(n)) {
+            let state = match (run.faults.is_up(n), run.faults.is_frozen(n)) {
                 (_, true) => "frozen",
                 (true, _) => "up",
                 _ => "down",
--- a/crates/simulation/src/nodes.rs
+++ b/crates/simulation/src/nodes.rs
@@ -106,7 +106,7 @@
 /// A controller; without a process while it is down.
 #[derive(Debug, Default)]
 struct Slot {
-    proc: Option<Arc<Process>>,
+    process: Option<Arc<Process>>,
     node: Arc<Mutex<Weak<Node>>>,
 }
 
@@ -151,14 +151,14 @@
         let name = controllers.world.node_name(node);
         let zone = controllers.world.node_zone(node);
         let ip = controllers.world.addresses.nodes[node].0.ip();
-        let proc = controllers
+        let process = controllers
             .world
             .process(&name, ip, Role::Node, Some(&zone));
         let settings = Settings {
             platform: platform(&controllers.world, node),
             operator: controllers.operator.clone(),
         };
-        let host = proc.host();
+        let host = process.host();
         let node_ref = Arc::new(Mutex::new(Weak::new()));
         let (started, owner) = (node_ref.clone(), controllers.clone());
         let node_host = host.clone();
@@ -173,34 +173,34 @@
             }
         });
         lock(&controllers.slots)[node] = Slot {
-            proc: Some(proc),
+            process: Some(process),
             node: node_ref,
         };
     }
 
     fn kill(&self, node: usize) {
         let slot = std::mem::take(&mut lock(&self.0.slots)[node]);
-        if let Some(proc) = slot.proc {
-            proc.kill();
+        if let Some(process) = slot.process {
+            process.kill();
         }
     }
 
     fn freeze(&self, node: usize) {
-        if let Some(proc) = &lock(&self.0.slots)[node].proc {
-            proc.freeze();
+        if let Some(process) = &lock(&self.0.slots)[node].process {
+            process.freeze();
         }
     }
 
     fn slow(&self, node: usize, lag_ms: f64) {
-        if let Some(proc) = &lock(&self.0.slots)[node].proc {
-            proc.set_lag(lag_ms);
+        if let Some(process) = &lock(&self.0.slots)[node].process {
+            process.set_lag(lag_ms);
         }
     }
 
     fn thaw(&self, node: usize) {
-        let proc = lock(&self.0.slots)[node].proc.clone();
-        if let Some(proc) = proc {
-            proc.thaw();
+        let process = lock(&self.0.slots)[node].process.clone();
+        if let Some(process) = process {
+            process.thaw();
         }
     }
 }
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -38,7 +38,7 @@
     pub state: &'a Arc<StateService>,
     pub cloud: &'a Arc<Cloud>,
     pub users: &'a Arc<Users>,
-    pub troubles: &'a Arc<FaultInjector>,
+    pub faults: &'a Arc<FaultInjector>,
     pub controllers: &'a Controllers,
 }
 
@@ -152,7 +152,7 @@
     let state = StateService::start(&world).await?;
     let cloud = Cloud::start(&world).await?;
     let users = Users::start(&world);
-    let (controllers, nodes): (_, Arc<dyn ControllerSupervisor>) = match options.processes {
+    let (controllers, supervisor): (_, Arc<dyn ControllerSupervisor>) = match options.processes {
         None => {
             let all = InProcess::new(&world, options.operator.clone());
             (
@@ -165,14 +165,14 @@
             (Controllers::Processes(all.clone()), all)
         }
     };
-    let troubles = FaultInjector::new(&world, &state, &cloud, &users, nodes);
-    troubles.start();
+    let faults = FaultInjector::new(&world, &state, &cloud, &users, supervisor);
+    faults.start();
     let view = RunView {
         world: &world,
         state: &state,
         cloud: &cloud,
         users: &users,
-        troubles: &troubles,
+        faults: &faults,
         controllers: &controllers,
     };
     let mut quiet_since_s: Option<f64> = None;
@@ -183,7 +183,7 @@
         let now = world.now_s();
         for (node, why) in controllers.take_exited() {
             exited.push(format!("{}: {why}", world.node_name(node)));
-            troubles.controller_exited(node, &why);
+            faults.controller_exited(node, &why);
         }
         if now >= next_waiting_s {
             next_waiting_s += WAITING_INTERVAL_S;
