--- a/crates/cherrywood/src/cli.rs
+++ b/crates/cherrywood/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: the daemon, a settings check, and a small client.
+//! The command line: the daemon, validation of settings, simulations and a minimal client.
 
 use anyhow::{Context as _, bail};
 use cherrywood_net::Runtime;
@@ -23,7 +23,7 @@
     /// Check the settings and exit.
     #[arg(long, requires = "config")]
     pub check: bool,
-    /// End when standard input does: whoever started this is gone then.
+    /// Exit when standard input is closed, that is when the parent process has ended.
     #[arg(long, requires = "config", hide = true)]
     pub until_stdin_ends: bool,
     #[command(subcommand)]
@@ -43,7 +43,7 @@
     Client(Request),
 }
 
-/// What a user asks of a running service.
+/// Requests of a user to a running service.
 #[derive(Debug, Subcommand)]
 pub enum Request {
     /// Submit the job described in a TOML file.
--- a/crates/cherrywood/tests/architecture.rs
+++ b/crates/cherrywood/tests/architecture.rs
@@ -1,10 +1,10 @@
-//! docs/ARCHITECTURE.md names packages, files and items of the code: each of them must exist.
+//! Every package, file and code item that docs/ARCHITECTURE.md names must exist.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Words in code spans that are not names of the code: keys of the state service, paths and
+/// Prefixes of code spans that are not names in the code: keys of the key-value store, paths and
 /// statuses of the protocol, settings.
 const PREFIXES_OF_OTHER_NAMES: &[&str] = &[
     "L/", "j/", "f/", "p/", "w/", "h/", "n/", "v/", "GET ", "POST ", "PUT ", "--", "http",
@@ -14,7 +14,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The code spans of a Markdown page, fenced blocks left out.
+/// Returns the code spans of a Markdown page, without fenced blocks.
 fn code_spans(page: &str) -> Vec<String> {
     let mut spans = Vec::new();
     let mut in_fence = false;
@@ -43,7 +43,7 @@
     }
 }
 
-/// The sources of each package, by its folder's name.
+/// Returns the sources of each package, by the name of its directory.
 fn sources_by_package() -> BTreeMap<String, String> {
     let mut sources = BTreeMap::new();
     for entry in fs::read_dir(repository().join("crates")).unwrap() {
@@ -71,7 +71,7 @@
     })
 }
 
-/// Why a code span names nothing in the code, if it doesn't.
+/// Returns why a code span names nothing in the code; None if its name exists.
 fn missing(span: &str, sources: &BTreeMap<String, String>) -> Option<String> {
     if PREFIXES_OF_OTHER_NAMES
         .iter()
--- a/crates/cherrywood/tests/settings.rs
+++ b/crates/cherrywood/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that the daemon refuses at its start, as an operator meets them.
+//! Settings that the daemon rejects at its start, through the command line.
 
 use std::process::{Command, Output, Stdio};
 
@@ -36,12 +36,13 @@
         .unwrap()
 }
 
-/// A task of a job that was confirmed as cancelled may run on for the sum of a leader's
-/// view, a block's lease and a worker's lease. Where `cancel_s` leaves these no room the
-/// service used to warn and start.
+/// A task of a job whose cancellation was confirmed may keep running for the sum of the validity of
+/// a leader's view, a shard lease and a worker's lease. The service used to start with only a
+/// warning when `cancel_s` was shorter than that.
 #[test]
 fn a_cancel_s_without_room_for_the_leases_is_refused_in_one_line() {
-    // Ends by itself if the settings are taken, for its standard input is at its end.
+    // If the settings are accepted the daemon exits by itself, because its standard input is
+    // closed.
     for how in [&["--check"], &["--until-stdin-ends"]] {
         for (lease_s, cancel_s) in [(10.0, 18.5), (10.0, 14.0), (22.0, 30.5), (15.25, 3.0)] {
             let out = start(lease_s, cancel_s, how);
@@ -60,7 +61,7 @@
     }
 }
 
-/// The leases of the deployments that this service is known to run at, and the least.
+/// Covers the leases of the known deployments of this service, and the minimum of `cancel_s`.
 #[test]
 fn leases_with_room_are_taken() {
     for (lease_s, cancel_s) in [(10.0, 40.0), (15.25, 45.25), (22.0, 52.0), (10.0, 18.52)] {
--- a/crates/cherrywood/tests/simulate.rs
+++ b/crates/cherrywood/tests/simulate.rs
@@ -1,4 +1,4 @@
-//! The command line of simulations, as a user meets it.
+//! The commands for simulations, through the command line.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::Write as _;
@@ -56,7 +56,7 @@
   - node_crash: {at_s: 10, who: leader}
 ";
 
-/// A search plays every seed, names those that are not good and says how to play them.
+/// A search plays every seed, and prints each seed that failed with the command that plays it.
 #[test]
 fn a_search_counts_its_scenarios_and_names_the_bad_ones() {
     let dir = tempfile::tempdir().unwrap();
@@ -92,7 +92,7 @@
         last.starts_with("settled ") && last.contains("rules broken 0, digest "),
         "{last}"
     );
-    // The digest is of the history's lines: anybody can check it.
+    // The digest is the hash of the history file, so that it can be verified.
     let history = std::fs::read(dir.path().join("out/history.jsonl")).unwrap();
     assert!(last.ends_with(&blake3::hash(&history).to_hex()[..16]));
     let page = std::fs::read_to_string(dir.path().join("out/report.html")).unwrap();
@@ -203,7 +203,7 @@
     }
 }
 
-/// Ports of a scenario with two controllers more than any test uses.
+/// Ports of a scenario with two more controllers than any test uses.
 const PORTS: u16 = 16;
 
 /// A base whose ports are free now.
@@ -224,7 +224,7 @@
     let (code, stdout, stderr) = run(&["simulate", &scenario, "--processes", "--port", &port]);
     assert_eq!(code, 0, "{stdout}{stderr}");
     assert!(stdout.lines().last().unwrap().contains("rules broken 0"));
-    // A port that is taken is told at once.
+    // A port in use is reported at once.
     let _taken = TcpListener::bind(("127.0.0.1", port.parse().unwrap())).unwrap();
     let (code, _, stderr) = run(&["simulate", &scenario, "--processes", "--port", &port]);
     assert_eq!((code, stderr.lines().count()), (2, 1), "{stderr}");
--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks across fields: what is possible by itself may be impossible together.
+//! Validation across fields: values that are valid one by one can contradict one another.
 
 use crate::workload::JobKind;
 use crate::{Aim, Scenario, Trouble};
@@ -8,7 +8,7 @@
     names.join(", ")
 }
 
-/// Appends what is wrong, each with its path.
+/// Appends each violated constraint to the report, with the path of its field.
 pub fn check(scenario: &Scenario, report: &mut Report) {
     let d = &scenario.deployment;
     let root = Path::empty;
@@ -149,7 +149,7 @@
     }
     let aims = root().join("deployment").join("aims");
     for (i, a) in d.aims.iter().enumerate() {
-        // Aims on classes that a scenario leaves out count nothing, and may stay.
+        // An objective for a class that the scenario does not have is allowed and has no effect.
         if let Aim::Wait { class, .. } | Aim::Finished { class, .. } = a
             && class.is_empty()
         {
--- a/crates/scenario/src/compound.rs
+++ b/crates/scenario/src/compound.rs
@@ -1,5 +1,5 @@
-//! Compound failures: several failures that meet within seconds around an election, drawn
-//! from the seed, on a deployment that the seed may draw too.
+//! Compound failures: several failures within seconds of a leader election, drawn from the seed,
+//! on a deployment that may be drawn from the seed as well.
 
 use crate::trouble::*;
 use crate::{Deployment, Scenario, Trouble};
@@ -15,15 +15,16 @@
 const MEET: (usize, usize) = (2, 3);
 /// s around the election in which they begin.
 const AROUND_S: f64 = 4.0;
-/// s that users and machines have at least before the first of them, and play goes on
-/// after the last.
+/// Minimum time (s) for which users and machines run before the first fault, and for which the
+/// scenario continues after the begin of the last one.
 const MARGIN_S: f64 = 5.0;
-/// s for which the state service is away when that outlasts `cancel_s`: this much longer.
+/// Time (s) by which an outage of the key-value store exceeds `cancel_s`, in the failures with an
+/// outage longer than that.
 const BEYOND_CANCEL_S: f64 = 5.0;
 
 macro_rules! failures {
     ($( $(#[doc = $about:literal])* $name:ident ),* $(,)?) => {
-        /// One failure of the catalogue.
+        /// A failure of the catalog, made up of one or more faults.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
         #[serde(rename_all = "snake_case")]
         pub enum Failure { $( $(#[doc = $about])* $name, )* }
@@ -35,63 +36,66 @@
 }
 
 failures!(
-    /// Jobs are cancelled while one controller's work changes hands.
+    /// Jobs are cancelled while the work of a controller is handed over.
     CancelDuringHandover,
-    /// Jobs bound to one zone lose machines.
+    /// Machines stop in a zone to which jobs are bound.
     ZoneBoundLoseMachines,
-    /// Jobs are cancelled whose machines hang or are cut off, and the leader changes.
+    /// Jobs are cancelled whose machines hang or are partitioned, and the leader changes.
     CancelOnLostMachines,
-    /// Tasks of a job end far apart across changes of leader.
+    /// The leader is killed every 8 s, so that the tasks of a job end under different leaders.
     EndsFarApart,
-    /// Old reports reach the next leader as it begins.
+    /// Old heartbeats reach the next leader as its term begins.
     OldReportsAtElection,
-    /// Commands are held up, and their machines go on later.
+    /// Direct commands are delayed, and machines hang and resume later.
     LateCommands,
-    /// The state service is slow, refuses the leader and then all for longer than
-    /// `cancel_s`, while users ask.
+    /// The key-value store is slow, refuses the leader, then refuses all controllers for longer
+    /// than `cancel_s`, while users send status queries.
     StateAway,
-    /// Transactions are executed, and only their answers are lost, while users ask
-    /// everywhere.
+    /// Transactions are executed and only their responses are lost, while users send status
+    /// queries to all controllers.
     LostAnswers,
-    /// Workers open no connection while direct commands reach them.
+    /// Workers cannot connect to any controller, while direct commands reach them.
     CommandsOnly,
-    /// A leader is cut from the state service and its peers, and jobs are cancelled
-    /// through the next.
+    /// The leader is partitioned from the key-value store and its peers, and jobs are cancelled
+    /// through its successor.
     CutLeader,
-    /// Ten leaders in two minutes, also inside an outage.
+    /// Ten leaders in two minutes, some of them during an outage of the key-value store.
     ManyLeaders,
-    /// Jobs are cancelled as the state service refuses the leader; then it is away for
+    /// Jobs are cancelled as the key-value store refuses the leader; then the store is down for
     /// longer than `cancel_s`.
     CancelAtRefusal,
-    /// Machines can't be asked, and jobs are cancelled meanwhile.
+    /// Jobs are cancelled while machines are unreachable.
     CancelWhileUnreached,
-    /// Small jobs come much more often, a quarter of them cancelled.
+    /// Jobs of a class are submitted four times as often, and a quarter of the jobs is cancelled
+    /// as they end.
     ManySmallJobs,
-    /// A zone is cut off for longer than a lease.
+    /// A zone is partitioned for longer than a lease.
     ZoneCut,
-    /// New machines get work at once while writes are late.
+    /// A burst of jobs is placed while transactions are executed late.
     WorkBeforeWrites,
-    /// Reports are held back until a new leader has acted.
+    /// Duplicates of all heartbeats are held back until another controller leads.
     ReportsForNext,
-    /// Machines with long tasks can't be reached, or don't hear the new leader.
+    /// Machines with long tasks are partitioned, or receive nothing from the new leader.
     UnreachedLongTasks,
-    /// More work than room.
+    /// More work than capacity.
     Overload,
-    /// Users ask at all controllers, and repeat submissions, right after anything.
+    /// Users query all controllers, and repeat submissions, right after each state change of a job.
     CloseLooks,
-    /// Old reports arrive after newer ones.
+    /// Old heartbeats arrive after newer ones.
     OldReports,
-    /// Cancellations, questions and repeats meet the end of a job's last task.
+    /// Cancellations, status queries and repeated submissions coincide with the end of the last
+    /// task of a job.
     RequestsAtEnd,
-    /// Transactions are executed late, after newer ones.
+    /// Transactions are executed late, after newer transactions.
     LateTransactions,
-    /// All controllers are away for longer than a lease.
+    /// All controllers are paused for longer than a lease.
     AllAway,
-    /// Controllers hand over and back, all end, and one returns.
+    /// Leadership changes back and forth in quick succession; then all controllers are killed and
+    /// restart.
     HandOverAndBack,
 );
 
-/// So many compound failures at times drawn from the seed.
+/// A number of compound failures at times drawn from the seed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Compound {
@@ -101,20 +105,20 @@
     pub from_s: f64,
     #[garde(range(min = 0.0, max = 86_400.0))]
     pub to_s: f64,
-    /// Of these failures; all if none is given.
+    /// Failures to draw from; all of the catalog if none is given.
     #[serde(default)]
     #[garde(skip)]
     pub of: Vec<Failure>,
-    /// The seed draws the deployment too: 2 to 14 controllers, back after 0.2 s or more,
-    /// machines that boot in 1 s, limits at a third, slow links.
+    /// Draws the deployment from the seed as well: 2 to 14 controllers that restart after 0.2 s or
+    /// more, machines that boot in 1 s, team quotas at a third, slow networks.
     #[serde(default)]
     #[garde(skip)]
     pub deployment: bool,
 }
 
 impl Scenario {
-    /// The same scenario with all that the seed draws written out: the deployment, and
-    /// every trouble at its time.
+    /// Returns the same scenario with everything that is drawn from the seed written out: the
+    /// deployment, and every fault at its time.
     #[must_use]
     pub fn with_draws(self, seed: u64) -> Scenario {
         let mut scenario = self.with_fleet(seed);
@@ -205,7 +209,7 @@
 }
 
 impl Failure {
-    /// Its troubles, from this time on.
+    /// Returns the faults of the failure, which begins at `at_s`.
     pub fn troubles(self, scenario: &Scenario, at_s: f64, rng: &mut Pcg64) -> Vec<Trouble> {
         let d = &scenario.deployment;
         let (who, lease_s) = (Who::Leader, d.workers.lease_s);
--- a/crates/scenario/src/deployment.rs
+++ b/crates/scenario/src/deployment.rs
@@ -1,5 +1,5 @@
-//! What is deployed: controllers, the systems they serve, teams and aims.
-//! Every field has a default, so that a scenario names only what it is about.
+//! The deployment of a scenario: controllers, the systems that they use, machines, teams and
+//! objectives. Every field has a default, so that a scenario sets only the fields that it is about.
 
 use garde::Validate;
 use schemars::JsonSchema;
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Deployment {
-    /// Controllers, spread over the zones in turn.
+    /// Number of controllers, distributed over the zones round robin.
     #[garde(range(min = 1, max = 25))]
     pub controllers: u32,
     #[garde(length(min = 1, max = 16))]
@@ -33,7 +33,7 @@
     pub teams: Vec<Team>,
     #[garde(dive)]
     pub aims: Vec<Aim>,
-    /// What every class and team must have of its jobs; else somebody starves.
+    /// Minimum service of every class and team; a class or team below it is starved.
     #[garde(dive)]
     pub served: Option<Served>,
 }
@@ -114,18 +114,18 @@
     }
 }
 
-/// The least served share of every class, of the largest tenth of each class, and of every
-/// team, of the jobs that nobody cancelled.
+/// Minimum served share of every class, of the largest tenth of each class and of every team.
+/// Cancelled jobs are not counted.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Served {
     #[garde(range(min = 0.0, max = 1.0))]
     pub share: f64,
-    /// s from the first attempt to submit a job to its end.
+    /// Time (s) from the first attempt to submit a job to its end.
     #[garde(range(min = 1.0, max = 86_400.0))]
     pub within_s: f64,
-    /// s in which an accepted job of the largest tenth of its class must begin, from when
-    /// it is ready.
+    /// Time (s) from when an accepted job of the largest tenth of its class is ready, within
+    /// which it must begin.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(inner(range(min = 1.0, max = 86_400.0)))]
     pub begin_s: Option<f64>,
@@ -134,16 +134,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodeLimits {
-    /// s until a controller that ended is started again.
+    /// Time (s) after which a controller that ended is restarted.
     #[garde(range(min = 0.1, max = 600.0))]
     pub restart_s: f64,
-    /// Connections a controller may have.
+    /// Maximum number of connections of a controller.
     #[garde(range(min = 50, max = 65_000))]
     pub sockets: u32,
-    /// ms by which the time of day may be off.
+    /// Maximum error (ms) of the wall clock.
     #[garde(range(min = 0.0, max = 60_000.0))]
     pub clock_off_ms: f64,
-    /// Share by which steady clocks may run fast.
+    /// Maximum drift of monotonic clocks, as the share by which they run fast.
     #[garde(range(min = 0.0, max = 0.0005))]
     pub drift: f64,
 }
@@ -162,15 +162,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// ms one way.
+    /// One-way latency (ms) inside a zone.
     #[garde(range(min = 0.0, max = 1000.0))]
     pub same_zone_ms: f64,
     #[garde(range(min = 0.0, max = 1000.0))]
     pub cross_zone_ms: f64,
-    /// Share by which a packet may take longer.
+    /// Maximum additional latency of a packet, as a share of its latency.
     #[garde(range(min = 0.0, max = 10.0))]
     pub jitter: f64,
-    /// Share of packets that are lost and sent again.
+    /// Share of packets that are lost and retransmitted.
     #[garde(range(min = 0.0, max = 0.2))]
     pub loss: f64,
 }
@@ -189,7 +189,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct State {
-    /// Requests and changes a second.
+    /// Limit on requests per second.
     #[garde(range(min = 1.0, max = 1.0e6))]
     pub rps: f64,
     #[garde(range(min = 1.0, max = 1.0e6))]
@@ -198,14 +198,14 @@
     pub value_kb: f64,
     #[garde(range(min = 3, max = 10_000))]
     pub txn_ops: usize,
-    /// ms that a request takes.
+    /// Duration (ms) of a request.
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub latency_ms: f64,
     /// Share of requests that take a few hundred ms.
     #[garde(range(min = 0.0, max = 1.0))]
     pub slow: f64,
-    /// The limits from some moment on (the trouble `state_limits`), which controllers
-    /// know of; those not given stay.
+    /// Limits that apply from the fault `state_limits` on, known to the controllers in advance;
+    /// limits that are not given stay.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub next: Option<NextLimits>,
@@ -243,12 +243,12 @@
 pub struct Cloud {
     #[garde(range(min = 0.5, max = 10_000.0))]
     pub rps: f64,
-    /// s by which the machine list lags.
+    /// Lag (s) of the machine list.
     #[garde(range(min = 0.0, max = 600.0))]
     pub list_lag_s: f64,
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub latency_ms: f64,
-    /// Share by which spot prices move around the nominal one.
+    /// Maximum deviation of spot prices from the nominal price, as a share of it.
     #[garde(range(min = 0.0, max = 0.34))]
     pub price_moves: f64,
 }
@@ -271,13 +271,13 @@
     pub report_s: f64,
     #[garde(range(min = 2.0, max = 600.0))]
     pub lease_s: f64,
-    /// s in which the tasks of a cancelled job must be gone.
+    /// Time (s) within which the tasks of a cancelled job must have ended.
     #[garde(range(min = 5.0, max = 3600.0))]
     pub cancel_s: f64,
-    /// Share by which machines of a type differ in speed.
+    /// Variation in speed among machines of a type, as a share.
     #[garde(range(min = 0.0, max = 0.5))]
     pub speed_differs: f64,
-    /// Do several fetches at a time share the machine's rate?
+    /// Whether concurrent image fetches share the fetch rate of the machine.
     #[garde(skip)]
     pub fetch_shared: bool,
 }
@@ -297,13 +297,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct SpotMarket {
-    /// Times an hour that a spot machine is taken back, on average.
+    /// Average number of times per hour that a spot machine is reclaimed.
     #[garde(range(min = 0.0, max = 60.0))]
     pub per_hour: f64,
-    /// s of notice, give or take half.
+    /// Notice (s) before a spot machine is reclaimed, plus or minus half of it.
     #[garde(range(min = 0.0, max = 600.0))]
     pub notice_s: f64,
-    /// Share taken without notice.
+    /// Share of spot machines that are reclaimed without notice.
     #[garde(range(min = 0.0, max = 1.0))]
     pub silent: f64,
 }
@@ -329,19 +329,19 @@
     pub gpus: f64,
     #[garde(range(min = 0.1, max = 100_000.0))]
     pub ram_gb: f64,
-    /// GB of images that it keeps.
+    /// Size (GB) of the image cache.
     #[garde(range(min = 0.1, max = 100_000.0))]
     pub cache_gb: f64,
     #[garde(range(min = 0.001, max = 1000.0))]
     pub fetch_gb_per_s: f64,
-    /// Of an hour.
+    /// Price per hour.
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub price: f64,
     #[garde(inner(range(min = 0.0, max = 10_000.0)))]
     pub spot_price: Option<f64>,
     #[garde(range(min = 0.5, max = 3600.0))]
     pub boot_s: f64,
-    /// Shares of machines that boot several times as long, and never.
+    /// Share of machines whose boot takes several times as long.
     #[garde(range(min = 0.0, max = 1.0))]
     pub boot_late: f64,
     #[garde(range(min = 0.0, max = 1.0))]
@@ -374,14 +374,14 @@
     pub kind: String,
     #[garde(length(min = 1))]
     pub zone: String,
-    /// Machines at the full price, and spot machines.
+    /// Number of on-demand machines.
     #[serde(default)]
     #[garde(range(max = 100_000))]
     pub count: u32,
     #[serde(default)]
     #[garde(range(max = 100_000))]
     pub spot: u32,
-    /// Ordinary ones that are up when the scenario begins.
+    /// Number of on-demand machines that are up when the scenario begins.
     #[serde(default)]
     #[garde(range(max = 100_000))]
     pub up: u32,
@@ -392,7 +392,7 @@
 pub struct Team {
     #[garde(length(min = 1, max = 60))]
     pub name: String,
-    /// Guaranteed, and at most; 0 is none, and no limit.
+    /// Guaranteed CPUs; 0 for no guarantee.
     #[serde(default)]
     #[garde(range(min = 0.0))]
     pub cpus: f64,
@@ -405,7 +405,7 @@
     #[serde(default)]
     #[garde(range(min = 0.0))]
     pub gpus_max: f64,
-    /// Its share of jobs whose class has several teams.
+    /// Weight of the team in the draw for a job whose class names no team.
     #[serde(default = "one")]
     #[garde(range(min = 0.001, max = 1000.0))]
     pub weight: f64,
@@ -415,11 +415,11 @@
     1.0
 }
 
-/// What the deployment is to reach; counted as the protocol page says.
+/// An objective of the deployment, measured as the protocol specifies.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Aim {
-    /// Share of the tasks of a class that start in time.
+    /// Share of the tasks of a class that start within `within_s`.
     Wait {
         #[garde(skip)]
         class: String,
@@ -428,7 +428,7 @@
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
     },
-    /// Share of the jobs of a class that are done in time.
+    /// Share of the jobs of a class that are done within `within_s`.
     Finished {
         #[garde(skip)]
         class: String,
@@ -437,26 +437,26 @@
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
     },
-    /// Share of the tasks within their team's guarantee that start in time.
+    /// Share of the tasks within the guarantee of their team that start within `within_s`.
     Guarantee {
         #[garde(range(min = 0.0))]
         within_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
     },
-    /// Share of the jobs accepted in time.
+    /// Share of the jobs that are accepted within `within_s`.
     Submit {
         #[garde(range(min = 0.0))]
         within_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
     },
-    /// Share of the money that is spent on useful work.
+    /// Share of the cost that is spent on useful work.
     Useful {
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
     },
-    /// Money over what the useful work costs at the lowest nominal price.
+    /// Maximum ratio of the cost to the cost of the useful work at the lowest nominal price.
     Price {
         #[garde(range(min = 0.0))]
         most: f64,
--- a/crates/scenario/src/draw.rs
+++ b/crates/scenario/src/draw.rs
@@ -1,4 +1,4 @@
-//! Troubles drawn from the seed.
+//! Faults and deployments drawn from the seed.
 
 use crate::trouble::*;
 use crate::{Scenario, Trouble};
@@ -10,7 +10,7 @@
 
 macro_rules! kinds {
     ($($(#[$alias:meta])? $name:ident),* $(,)?) => {
-        /// What can be drawn.
+        /// Kinds of faults that can be drawn.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
         #[serde(rename_all = "snake_case")]
         pub enum Kind { $($(#[$alias])? $name),* }
@@ -60,7 +60,7 @@
     CloseLooks,
 );
 
-/// So many troubles at times drawn from the seed.
+/// A number of faults at times drawn from the seed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Draw {
@@ -70,27 +70,28 @@
     pub from_s: f64,
     #[garde(range(min = 0.0, max = 86_400.0))]
     pub to_s: f64,
-    /// Of these kinds; all if none is given.
+    /// Kinds to draw from; all if none is given.
     #[serde(default)]
     #[garde(skip)]
     pub of: Vec<Kind>,
 }
 
-/// A deployment that the seed changes: how many controllers, how soon one that ended is
-/// back, how large each part of the capacity is, and which types there are at all.
+/// Ranges of a deployment that is drawn from the seed: the number of controllers, their restart
+/// time, the size of each part of the capacity, and the machine types that exist at all.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Controllers, at least and at most.
+    /// Minimum and maximum number of controllers.
     #[garde(inner(range(min = 1, max = 25)))]
     pub controllers: [u32; 2],
-    /// s until a controller that ended is back, at least and at most.
+    /// Minimum and maximum time (s) after which a controller that ended is restarted.
     #[garde(inner(range(min = 0.1, max = 600.0)))]
     pub restart_s: [f64; 2],
-    /// Times the capacity of each type, zone and kind, at least and at most.
+    /// Minimum and maximum factor on each number of machines: per machine type, per zone, and for
+    /// on-demand and spot machines.
     #[garde(inner(range(min = 0.1, max = 10.0)))]
     pub times: [f64; 2],
-    /// Share of scenarios with machines of one type only.
+    /// Share of scenarios with machines of a single type.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1.0))]
     pub one_type: f64,
@@ -105,7 +106,7 @@
 }
 
 impl Scenario {
-    /// The scenario with the deployment that the seed draws, if it asks for one.
+    /// Returns the scenario with the deployment drawn from the seed, if it asks for one.
     #[must_use]
     pub fn with_fleet(mut self, seed: u64) -> Scenario {
         let Some(fleet) = self.drawn_fleet.take() else {
@@ -126,7 +127,7 @@
         if between([0.0, 1.0]) < fleet.one_type
             && let Some(only) = largest(d)
         {
-            // The one that every job fits.
+            // Every job fits the largest type.
             for c in &mut d.capacity {
                 if c.kind != only {
                     (c.count, c.spot, c.up) = (0, 0, 0);
@@ -136,9 +137,9 @@
         self
     }
 
-    /// The troubles of the file and those that the seed draws, by time.
+    /// Returns the faults of the file and those drawn from the seed, ordered by time.
     pub fn all_troubles(&self, seed: u64) -> Vec<Trouble> {
-        // A stream of its own: other draws must not shift these.
+        // A random stream of its own, so that other draws do not shift these.
         let mut rng = Pcg64::seed_from_u64(seed ^ 0x7472_6f75_626c_6573);
         let mut all = self.troubles.clone();
         for draw in &self.drawn {
--- a/crates/scenario/src/file.rs
+++ b/crates/scenario/src/file.rs
@@ -1,5 +1,5 @@
-//! Reading a file, and what its author is told when it can't be used: one line
-//! with file, line, field, what was found and what is allowed.
+//! Reads and validates YAML files. An error is reported in one line, with the file, the line, the
+//! field, the value found and the values allowed.
 
 use crate::Scenario;
 use garde::Validate;
@@ -27,12 +27,12 @@
     }
 }
 
-/// The whole of a small text file.
+/// Reads a text file whole.
 pub fn read(path: &Path) -> Result<String, FileError> {
     std::fs::read_to_string(path).map_err(|e| FileError(format!("{}: {e}", path.display())))
 }
 
-/// Reads YAML and validates it.
+/// Parses and validates YAML.
 pub fn parse<T>(file: &str, text: &str) -> Result<T, FileError>
 where
     T: DeserializeOwned + Validate,
@@ -41,7 +41,7 @@
     serde_saphyr::from_str_valid(text).map_err(|e| FileError(explain(file, text, &e)))
 }
 
-/// Scenario files are also checked across their fields.
+/// A scenario that is also validated across its fields.
 #[derive(serde::Deserialize)]
 #[serde(transparent)]
 struct Checked(Scenario);
@@ -64,7 +64,7 @@
 
 fn explain(file: &str, text: &str, error: &serde_saphyr::Error) -> String {
     let plain = error.without_snippet().to_string();
-    // The first of several; the rest shows when it is mended.
+    // Only the first error is reported: the others show once it is corrected.
     let first = plain.lines().next().unwrap_or_default();
     let (what, at) = match first.rsplit_once(" at line ") {
         Some((what, at)) => (what, at.split(',').next().unwrap_or_default()),
@@ -81,7 +81,7 @@
     if let Some(rest) = what.strip_prefix("validation error at ")
         && let Some((path, why)) = rest.split_once(": ")
     {
-        // The value of a variant has no name in the file.
+        // garde numbers the value of an enum variant, which has no name of its own in the file.
         (field, what) = (path.replace("][0]", "]"), why.to_string());
     }
     let key = field
@@ -89,7 +89,8 @@
         .next()
         .unwrap_or_default()
         .to_string();
-    // Inside a list the position is that of the entry: its field is below.
+    // For a field of a list entry the position is that of the entry: the field may be on a later
+    // line.
     let lines: Vec<&str> = text.lines().collect();
     let has = |n: usize, key: &str| lines.get(n - 1).is_some_and(|l| value_of(l, key).is_some());
     if line > 0
@@ -114,14 +115,14 @@
     out.replace('\n', " ")
 }
 
-/// `key` of `  - key: value`.
+/// Returns `key` of a line such as `  - key: value`.
 fn key_of(line: &str) -> Option<String> {
     let line = line.trim().trim_start_matches("- ").trim_start_matches('{');
     let (key, _) = line.split_once(':')?;
     Some(key.trim().to_string())
 }
 
-/// What stands behind `key:` in the line.
+/// Returns the value after `key:` in the line.
 fn value_of(line: &str, key: &str) -> Option<String> {
     if key.is_empty() {
         return None;
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,6 +1,6 @@
-//! Scenario files: what a simulation plays. A deployment, what its users do, and
-//! troubles at set times or drawn from the seed. Read from YAML, checked, and
-//! described by a JSON Schema.
+//! Scenario files for simulations: a deployment, its workload, and a fault schedule with faults at
+//! set times or drawn from the seed. Scenarios are read from YAML, validated, and described by a
+//! JSON Schema.
 
 pub mod check;
 pub mod compound;
@@ -21,18 +21,18 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// One scenario: what is deployed, what its users do, and what goes wrong.
+/// A scenario: a deployment, its workload and its faults.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// Letters, digits and dashes; names the report.
     #[garde(length(min = 1, max = 60), custom(plain))]
     pub name: String,
-    /// What the scenario shows.
+    /// Purpose of the scenario.
     #[serde(default)]
     #[garde(length(max = 2000))]
     pub about: String,
-    /// s for which users submit.
+    /// Time (s) during which users submit jobs.
     #[garde(range(min = 10.0, max = 86_400.0))]
     pub play_s: f64,
     /// s after that in which everything must settle, at most.
@@ -45,23 +45,23 @@
     #[serde(default)]
     #[garde(dive)]
     pub workload: Workload,
-    /// What goes wrong at set times; troubles may overlap.
+    /// Faults at set times; they may overlap.
     #[serde(default)]
     #[garde(dive)]
     pub troubles: Vec<Trouble>,
-    /// Troubles drawn from the seed.
+    /// Faults drawn from the seed.
     #[serde(default)]
     #[garde(dive)]
     pub drawn: Vec<Draw>,
-    /// What the seed changes of the deployment.
+    /// Properties of the deployment that are drawn from the seed.
     #[serde(default)]
     #[garde(dive)]
     pub drawn_fleet: Option<Fleet>,
-    /// Compound failures drawn from the seed, and a deployment for them.
+    /// Compound failures drawn from the seed, and optionally a deployment for them.
     #[serde(default)]
     #[garde(dive)]
     pub drawn_compound: Option<Compound>,
-    /// The seed to play it with, if the command gives none.
+    /// Seed of the simulation, unless the command line gives one.
     #[serde(default)]
     #[garde(skip)]
     pub seed: Option<u64>,
@@ -83,7 +83,7 @@
 }
 
 impl Scenario {
-    /// Only its first so many seconds.
+    /// Returns the scenario cut to its first `s` seconds.
     #[must_use]
     pub fn first(mut self, s: f64) -> Scenario {
         self.play_s = self.play_s.min(s);
@@ -99,7 +99,8 @@
         self
     }
 
-    /// The same scenario with so many times the traffic, and jobs at its beginning.
+    /// Returns the same scenario with its arrival rates multiplied by `traffic`, and the number of
+    /// jobs at its beginning by `at_start`.
     #[must_use]
     pub fn with_traffic(mut self, traffic: f64, at_start: f64) -> Scenario {
         for c in &mut self.workload.classes {
@@ -109,7 +110,8 @@
         self
     }
 
-    /// The same scenario at another size: machines, teams and traffic times `by`.
+    /// Returns the same scenario at another size: machines, team quotas and traffic multiplied by
+    /// `by`.
     #[must_use]
     pub fn scaled(mut self, by: f64) -> Scenario {
         let whole = |n: u32| (f64::from(n) * by).round() as u32;
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -1,35 +1,36 @@
-//! What can go wrong.
+//! Faults that a scenario injects at set times: into controllers, the key-value store, the cloud,
+//! machines, zones and the requests of users.
 
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Which controllers a trouble hits.
+/// Controllers that a fault affects.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Who {
-    /// The one that leads at that moment.
+    /// The controller that leads when the fault begins.
     Leader,
-    /// One that doesn't lead, drawn from the seed.
+    /// A controller that does not lead, drawn from the seed.
     Follower,
-    /// Any one, drawn from the seed.
+    /// Any controller, drawn from the seed.
     #[default]
     Any,
     All,
 }
 
-/// What becomes of packets on a broken path.
+/// Treatment of packets on a partitioned network path.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Cut {
-    /// Held back, and delivered in order when the path is whole again.
+    /// Packets are held back, and delivered in order once the partition heals.
     #[default]
     Hold,
     /// Connections are reset.
     Reset,
 }
 
-/// What a controller is cut off from.
+/// Peers of a controller that a network partition separates it from.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema,
 )]
@@ -64,7 +65,7 @@
             $( $(#[$field_meta:meta])* $field:ident : $ty:ty ),* $(,)?
         }
     )*) => {
-        /// A trouble; `at_s` counts from the beginning of the scenario.
+        /// A fault to inject; `at_s` counts from the beginning of the scenario.
         #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
         #[serde(rename_all = "snake_case", deny_unknown_fields)]
         pub enum Trouble {
@@ -99,18 +100,18 @@
 }
 
 troubles! {
-    /// Controllers are killed, and started again.
+    /// Controllers are killed and restarted.
     NodeCrash {
         #[serde(default)]
         #[garde(skip)]
         who: Who,
     }
-    /// All controllers are restarted, one after the other.
+    /// All controllers are restarted, one after the other (rolling restart).
     NodeRoll {
         #[garde(range(min = 0.5, max = 600.0))]
         every_s: f64,
     }
-    /// Controllers are killed again and again, started again in between.
+    /// Controllers are killed repeatedly, and restarted in between.
     NodeEnds {
         #[garde(range(min = 0.1, max = 600.0))]
         every_s: f64,
@@ -120,7 +121,7 @@
         #[garde(skip)]
         who: Who,
     }
-    /// Controllers stand still while their clocks run on.
+    /// Controller processes are paused while their clocks advance.
     NodeFreeze {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -128,25 +129,25 @@
         #[garde(skip)]
         who: Who,
     }
-    /// Controllers compute slower: whatever they do comes this much later.
+    /// Controllers compute more slowly: each of their steps is delayed by `lag_ms`.
     NodeSlow {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[serde(default)]
         #[garde(skip)]
         who: Who,
-        /// ms that each step is late, give or take half.
+        /// Delay (ms) of each step, plus or minus half of it.
         #[garde(range(min = 1.0, max = 10_000.0))]
         lag_ms: f64,
     }
-    /// Controllers lose the network, or a part of it.
+    /// Controllers are partitioned from the network, or from a part of it.
     NodeCut {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[serde(default)]
         #[garde(skip)]
         who: Who,
-        /// From whom; all if it isn't given.
+        /// Peers that become unreachable; all of them if not given.
         #[serde(default = "all_sides")]
         #[garde(length(min = 1))]
         from: Vec<Side>,
@@ -154,7 +155,7 @@
         #[garde(skip)]
         mode: Cut,
     }
-    /// The state service answers 503 to these controllers alone.
+    /// The key-value store responds 503 to these controllers only.
     NodeRefused {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -167,32 +168,32 @@
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// The state service answers 503 to all.
+    /// The key-value store responds 503 to every request.
     StateOutage {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// A share of its answers takes longer.
+    /// A share of the responses of the key-value store takes longer.
     StateSlow {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
-        /// ms that such an answer takes.
+        /// Time (ms) that such a response takes.
         #[garde(range(min = 1.0, max = 60_000.0))]
         ms: f64,
     }
-    /// It falls behind: only this share of its rates is left.
+    /// The capacity of the key-value store drops: only this share of its request rates is left.
     StateBehind {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.01, max = 1.0))]
         share: f64,
     }
-    /// From now on it has the limits of `deployment.state.next`; those that are not
-    /// given there stay.
+    /// The key-value store has the limits of `deployment.state.next` from this time on; limits
+    /// that are not given there stay.
     StateLimits {}
-    /// Answers of the state service are lost.
+    /// A share of the responses of the key-value store is lost.
     StateLoses {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -201,34 +202,34 @@
         #[serde(default)]
         #[garde(skip)]
         when: Lost,
-        /// s by which a late request is executed late.
+        /// Delay (s) after which a late request is executed.
         #[serde(default = "late_s")]
         #[garde(range(min = 0.1, max = 600.0))]
         late_s: f64,
     }
-    /// A share of the transactions gets no answer and is executed 2 to 12 s later, after
-    /// newer ones.
+    /// A share of the transactions gets no response and is executed 2 to 12 s later, after
+    /// newer transactions.
     LateWrites {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
-        /// They are executed at once, and only their answers are lost.
+        /// The transactions are executed at once, and only their responses are lost.
         #[serde(default)]
         #[garde(skip)]
         at_once: bool,
     }
-    /// Watches are answered when this is over, while all else is served.
+    /// Watch requests get their response when this fault ends; all other requests are served.
     WatchLag {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// The cloud answers 503 to all.
+    /// The cloud responds 503 to every request.
     CloudOutage {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// It has no capacity left, anywhere or in a zone.
+    /// The cloud has no capacity left, in any zone or in the given one.
     CloudFull {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -236,8 +237,8 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// It executes a share of its requests late: a machine is granted, or
-    /// deleted, after the caller gave up.
+    /// The cloud executes a share of its requests late: a machine is granted or deleted after
+    /// the request of the caller timed out.
     CloudLate {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -246,14 +247,14 @@
         #[garde(range(min = 0.1, max = 600.0))]
         by_s: f64,
     }
-    /// Its machine list is this much older, and goes backwards.
+    /// The machine list of the cloud is older by `lag_s`, so that it goes back in time.
     CloudStale {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.1, max = 600.0))]
         lag_s: f64,
     }
-    /// Machines rented meanwhile boot late, or never.
+    /// Machines that are rented during this fault boot late, or never.
     BootsLate {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -268,7 +269,7 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// Machines stop, with all that is on them.
+    /// Machines stop, and everything on them is lost.
     MachineDie {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
@@ -276,14 +277,14 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// Machines stand still, and may go on later.
+    /// Machines hang, and may resume later.
     MachineHang {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// Machines run their tasks slower.
+    /// Machines run their tasks more slowly.
     MachineSlow {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
@@ -292,14 +293,14 @@
         #[garde(range(min = 1.0, max = 100.0))]
         times: f64,
     }
-    /// Machines fail every task that they start.
+    /// Every task that is started on these machines fails.
     MachineFaulty {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// Machines lose the network.
+    /// Machines are partitioned from the network.
     MachineCut {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
@@ -309,7 +310,8 @@
         #[garde(skip)]
         mode: Cut,
     }
-    /// Machines whose reports arrive, and whom no answer and no command reaches.
+    /// One-way partition: heartbeats of these machines arrive, while no response and no command
+    /// reaches them.
     MachineDeaf {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
@@ -319,11 +321,13 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// Workers open no connection to any controller, while direct commands reach them.
+    /// One-way partition: workers cannot connect to any controller, while direct commands reach
+    /// them.
     MachineMute {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
-        /// How many; else `share` of them; else all, of the zone if one is given.
+        /// Number of workers; if not given, `share` of them, or else all; only workers of `zone`
+        /// if that is given.
         #[serde(default)]
         #[garde(inner(range(min = 1, max = 100_000)))]
         count: Option<u32>,
@@ -334,43 +338,43 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// Copies of a share of the reports arrive again, at any controller, from 2 s to well
-    /// over a lease later.
+    /// Duplicates of a share of the heartbeats arrive at any controller, from 2 s to well over a
+    /// lease later.
     #[serde(alias = "report_copies")]
     LateReports {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
-        /// s by which they are late at most, and at least none.
+        /// Maximum delay (s) of the duplicates; the minimum is then 0.
         #[serde(default)]
         #[garde(inner(range(min = 0.1, max = 600.0)))]
         late_s: Option<f64>,
-        /// They are kept until another controller leads, and then arrive there.
+        /// The duplicates are kept until another controller leads, and then arrive there.
         #[serde(default)]
         #[garde(skip)]
         for_next: bool,
     }
-    /// A share of the direct commands is held up on its way, unanswered, and carried out
-    /// 2 to 16 s late, if token and session still match.
+    /// A share of the direct commands is delayed on the network without a response, and executed
+    /// 2 to 16 s late if token and session still match.
     LateCommands {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
     }
-    /// A share of the spot machines is taken back.
+    /// A share of the spot machines is reclaimed by the cloud.
     SpotWave {
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
         #[garde(range(min = 0.0, max = 3600.0))]
         over_s: f64,
-        /// s of notice; 0 is none.
+        /// Notice (s) before a machine is reclaimed; 0 for none.
         #[serde(default)]
         #[garde(range(min = 0.0, max = 600.0))]
         notice_s: f64,
     }
-    /// A zone is cut off from everything; inside, it goes on.
+    /// A zone is partitioned from all others, while traffic inside it continues.
     ZoneCut {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -380,7 +384,7 @@
         #[garde(skip)]
         mode: Cut,
     }
-    /// Jobs of a class come several times as often.
+    /// Jobs of a class are submitted `times` as often.
     JobBurst {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -389,37 +393,37 @@
         #[garde(range(min = 1.0, max = 100.0))]
         times: f64,
     }
-    /// Users ask many times as often.
+    /// Users send status queries `times` as often.
     PollStorm {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 1.0, max = 100.0))]
         times: f64,
     }
-    /// Users cancel this many jobs that run and have long to go, within 0.2 s.
+    /// Users cancel `count` running jobs with a long remaining run time, within 0.2 s.
     CancelNow {
         #[garde(range(min = 1, max = 10_000))]
         count: u32,
-        /// s for which up to eight machines with tasks of these jobs stand still.
+        /// Time (s) for which up to eight machines with tasks of these jobs hang.
         #[serde(default)]
         #[garde(inner(range(min = 0.1, max = 3600.0)))]
         hang_s: Option<f64>,
     }
-    /// Users cancel a share of the jobs at the moment at which their last task ends.
+    /// Users cancel a share of the jobs at the moment when their last task ends.
     CancelAtEnd {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
     }
-    /// Users repeat submissions of unfinished jobs, cancel jobs that are done, and submit
-    /// jobs that fit no machine or lack a field.
+    /// Invalid and redundant requests: users repeat submissions of unfinished jobs, cancel jobs
+    /// that are done, and submit jobs that fit no machine or lack a field.
     OddRequests {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// Users ask at all controllers within milliseconds after a job was accepted, ended or
-    /// was cancelled.
+    /// Users send status queries to all controllers within milliseconds after a job was accepted,
+    /// ended or was cancelled.
     CloseLooks {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -430,21 +434,21 @@
     5.0
 }
 
-/// When the answer of the state service is lost.
+/// Whether a request whose response is lost is executed by the key-value store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Lost {
-    /// The request was not executed.
+    /// The request is not executed.
     Before,
-    /// It was.
+    /// The request is executed.
     #[default]
     After,
-    /// It will be, later.
+    /// The request is executed later.
     Late,
 }
 
 impl Trouble {
-    /// s until it is over; None for a moment.
+    /// Returns the duration (s) of the fault; None if it is instantaneous.
     pub fn for_s(&self) -> Option<f64> {
         use Trouble as T;
         match self {
@@ -485,7 +489,7 @@
         }
     }
 
-    /// Its name in a scenario file.
+    /// Returns the name of the fault in a scenario file.
     pub fn name(&self) -> &'static str {
         use Trouble as T;
         match self {
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -1,4 +1,4 @@
-//! What users do.
+//! The workload of a scenario: the jobs that users submit, and how users query and cancel them.
 
 use garde::Validate;
 use schemars::JsonSchema;
@@ -9,29 +9,30 @@
 pub struct Workload {
     #[garde(length(min = 1, max = 100), dive)]
     pub classes: Vec<Class>,
-    /// s between two polls for a job.
+    /// Interval (s) between two status queries for a job.
     #[garde(range(min = 0.5, max = 600.0))]
     pub poll_s: f64,
-    /// Questions a minute about jobs that nobody submitted.
+    /// Status queries per minute for jobs that were never submitted.
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub strangers_per_minute: f64,
-    /// Share of jobs that are submitted again after their end.
+    /// Share of jobs whose submission is repeated after their end.
     #[garde(range(min = 0.0, max = 1.0))]
     pub repeats: f64,
-    /// Share of jobs that can never run.
+    /// Share of jobs that can never run and must be refused.
     #[garde(range(min = 0.0, max = 1.0))]
     pub impossible: f64,
-    /// Share of users who try again after a second whatever `Retry-After` says.
+    /// Share of users who ignore `Retry-After` and retry after a second.
     #[garde(range(min = 0.0, max = 1.0))]
     pub impatient: f64,
-    /// Chains and trees of jobs that wait for others.
+    /// Chains and trees of jobs that depend on other jobs.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     #[garde(length(max = 20), dive)]
     pub pipelines: Vec<Pipeline>,
 }
 
-/// Jobs of several classes, each submitted as soon as those that it needs are accepted.
-/// Their classes come by themselves as well, unless their `per_minute` is 0.
+/// A pipeline: jobs of several classes, each submitted as soon as the jobs that it depends on are
+/// accepted. Jobs of these classes are also submitted on their own, unless the `per_minute` of the
+/// class is 0.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Pipeline {
@@ -39,22 +40,22 @@
     pub name: String,
     #[garde(range(min = 0.0, max = 100_000.0))]
     pub per_minute: f64,
-    /// In the order in which they are submitted.
+    /// Stages in the order of their submission.
     #[garde(length(min = 1, max = 50), dive)]
     pub stages: Vec<Stage>,
-    /// `due_s` of the last stage's jobs: this factor times the estimates of the longest
-    /// path, and so many s more. None: no deadline.
+    /// Deadline (`due_s`) of the jobs of the last stage: this factor times the estimated run time
+    /// of the longest path, plus `due_plus_s`. None: no deadline.
     #[serde(default)]
     #[garde(inner(range(min = 0.01, max = 100.0)))]
     pub due_factor: Option<f64>,
     #[serde(default)]
     #[garde(range(min = 0.0, max = 86_400.0))]
     pub due_plus_s: f64,
-    /// Share whose last stage is submitted when all others are over.
+    /// Share of pipelines whose last stage is submitted only after all other stages have ended.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1.0))]
     pub late: f64,
-    /// Share of which some job is cancelled.
+    /// Share of pipelines of which a job is cancelled.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1.0))]
     pub cancelled: f64,
@@ -69,7 +70,7 @@
     #[serde(default = "one")]
     #[garde(range(min = 1, max = 1000))]
     pub jobs: u32,
-    /// Stages before it whose jobs it waits for, from 0 on.
+    /// Earlier stages whose jobs this stage depends on, counted from 0.
     #[serde(default)]
     #[garde(skip)]
     pub needs: Vec<usize>,
@@ -129,13 +130,13 @@
     }
 }
 
-/// A lognormal distribution, cut off at `most`.
+/// A log-normal distribution, truncated at `most`.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Spread {
     #[garde(range(min = 0.001, max = 1.0e6))]
     pub median: f64,
-    /// 95 of 100 are below; like the median if it isn't given.
+    /// 95th percentile; equal to the median if not given.
     #[serde(default)]
     #[garde(inner(range(min = 0.001, max = 1.0e6)))]
     pub p95: Option<f64>,
@@ -158,7 +159,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
     Array,
-    /// Runs until its user cancels it.
+    /// A service, which runs until its user cancels it.
     Standing,
 }
 
@@ -178,7 +179,7 @@
     pub count: u32,
     #[garde(dive)]
     pub gb: Spread,
-    /// How much more often the first ones are used.
+    /// Exponent of the Zipf distribution that images are drawn from; 0 is uniform.
     #[garde(range(min = 0.0, max = 4.0))]
     pub zipf: f64,
 }
@@ -193,13 +194,13 @@
     }
 }
 
-/// A class of jobs.
+/// A job class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Class {
     #[garde(length(min = 1, max = 60))]
     pub name: String,
-    /// None: any team, by weight.
+    /// None: a team drawn by weight.
     #[garde(skip)]
     pub team: Option<String>,
     #[garde(skip)]
@@ -214,7 +215,7 @@
     pub tasks: Spread,
     #[garde(dive)]
     pub run_s: Spread,
-    /// Of each task.
+    /// CPUs of each task.
     #[garde(range(min = 0.01, max = 100_000.0))]
     pub cpus: f64,
     #[garde(range(min = 0.0, max = 10_000.0))]
@@ -223,7 +224,7 @@
     pub ram_gb: f64,
     #[garde(dive)]
     pub images: Images,
-    /// Allowed machine types; None is any.
+    /// Allowed machine types; None: any type.
     #[garde(skip)]
     pub types: Option<Vec<String>>,
     #[garde(skip)]
@@ -232,27 +233,27 @@
     pub one_zone: bool,
     #[garde(skip)]
     pub spread: bool,
-    /// May it use spot machines?
+    /// Whether its tasks may run on spot machines.
     #[garde(skip)]
     pub spot: bool,
-    /// s between two saves; 0 never saves.
+    /// Interval (s) between two checkpoints; 0 for no checkpoints.
     #[garde(range(min = 0.0, max = 86_400.0))]
     pub checkpoint_s: f64,
     #[garde(range(min = 0.0, max = 600.0))]
     pub save_s: f64,
-    /// Spread of the owner's estimates around the truth.
+    /// Standard deviation of the logarithm of the error of the user's estimates.
     #[garde(range(min = 0.0, max = 3.0))]
     pub estimate_error: f64,
-    /// Factor by which estimates are off on this scenario.
+    /// Systematic error of the estimates in this scenario, as a factor.
     #[garde(range(min = 0.01, max = 100.0))]
     pub estimate_bias: f64,
-    /// Share of jobs that their user cancels.
+    /// Share of jobs that are cancelled by their user.
     #[garde(range(min = 0.0, max = 1.0))]
     pub cancelled: f64,
-    /// Share submitted with a mistake: they fail everywhere.
+    /// Share of jobs that are submitted with a mistake and fail on every machine.
     #[garde(range(min = 0.0, max = 1.0))]
     pub mistaken: f64,
-    /// s after which a standing job is cancelled.
+    /// Time (s) after which a standing job is cancelled.
     #[garde(range(min = 1.0, max = 86_400.0))]
     pub stands_s: f64,
 }
--- a/crates/scenario/tests/scenario.rs
+++ b/crates/scenario/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what is refused and why, and what a seed draws.
+//! Scenario files: validation errors, and faults and deployments drawn from a seed.
 
 use cherrywood_scenario::{Scenario, draw};
 use garde::Validate;
@@ -98,7 +98,7 @@
     assert_ne!(a, scenario.all_troubles(8));
     assert!(a.iter().all(|t| (60.0..200.0).contains(&t.at_s())));
     assert!(a.windows(2).all(|w| w[0].at_s() <= w[1].at_s()));
-    // Each that can be drawn is drawn by some seed, and is possible.
+    // Each kind of fault is drawn by some seed, and is valid.
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..200 {
         for t in scenario.all_troubles(seed) {
@@ -222,7 +222,7 @@
     assert!(refused(text).contains("not after from_s"));
 }
 
-/// The operators run 4,000 machines behind five or fourteen controllers.
+/// Operators run 4,000 machines with five or fourteen controllers.
 #[test]
 fn a_scenario_file_can_describe_5000_machines_and_their_work() {
     let text = "name: n\nplay_s: 600\n\
