--- a/crates/cherrywood/src/cli.rs
+++ b/crates/cherrywood/src/cli.rs
@@ -76,7 +76,7 @@
             Some(Vec::new()),
         ),
     };
-    let answer = HttpClient::new(&Runtime::native(), node)
+    let response = HttpClient::new(&Runtime::native(), node)
         .send(
             method,
             &path,
@@ -84,12 +84,12 @@
             cherrywood_limits::CLI_TIMEOUT_S,
         )
         .await?;
-    if !matches!(answer.status, 200 | 201) {
-        let why = cherrywood_wire::decode::<ErrorResponse>(&answer.body);
-        let why = why.map_or(String::new(), |r| format!(": {}", r.error));
-        bail!("status {}{why}", answer.status);
+    if !matches!(response.status, 200 | 201) {
+        let error = cherrywood_wire::decode::<ErrorResponse>(&response.body);
+        let reason = error.map_or(String::new(), |e| format!(": {}", e.error));
+        bail!("status {}{reason}", response.status);
     }
-    let job: JobStatus = cherrywood_wire::decode(&answer.body)?;
+    let job: JobStatus = cherrywood_wire::decode(&response.body)?;
     let state = match job.state {
         cherrywood_wire::user::JobState::Queued => "queued",
         cherrywood_wire::user::JobState::Running => "running",
--- a/crates/cherrywood/tests/settings.rs
+++ b/crates/cherrywood/tests/settings.rs
@@ -2,8 +2,8 @@
 
 use std::process::{Command, Output, Stdio};
 
-/// What the platform hands over, with these leases.
-fn platform(lease_s: f64, cancel_s: f64) -> String {
+/// Returns the settings file of the platform with these leases.
+fn platform_settings(lease_s: f64, cancel_s: f64) -> String {
     format!(
         r#"
 label = "n0"
@@ -22,15 +22,15 @@
     )
 }
 
-/// Starts the daemon with these leases, or only has its settings checked.
-fn start(lease_s: f64, cancel_s: f64, more: &[&str]) -> Output {
+/// Runs the daemon with these leases and `extra_args`.
+fn run_daemon(lease_s: f64, cancel_s: f64, extra_args: &[&str]) -> Output {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("platform.toml");
-    std::fs::write(&path, platform(lease_s, cancel_s)).unwrap();
+    std::fs::write(&path, platform_settings(lease_s, cancel_s)).unwrap();
     Command::new(env!("CARGO_BIN_EXE_cherrywood"))
         .arg("--config")
         .arg(&path)
-        .args(more)
+        .args(extra_args)
         .stdin(Stdio::null())
         .output()
         .unwrap()
@@ -40,22 +40,22 @@
 /// a leader's view, a shard lease and a worker's lease. The service used to start with only a
 /// warning when `cancel_s` was shorter than that.
 #[test]
-fn a_cancel_s_without_room_for_the_leases_is_refused_in_one_line() {
+fn a_cancel_s_too_short_for_the_leases_is_rejected_in_one_line() {
     // If the settings are accepted the daemon exits by itself, because its standard input is
     // closed.
-    for how in [&["--check"], &["--until-stdin-ends"]] {
+    for mode in [&["--check"], &["--until-stdin-ends"]] {
         for (lease_s, cancel_s) in [(10.0, 18.5), (10.0, 14.0), (22.0, 30.5), (15.25, 3.0)] {
-            let out = start(lease_s, cancel_s, how);
-            let told = String::from_utf8(out.stderr).unwrap();
-            assert_eq!(out.status.code(), Some(2), "{how:?} {cancel_s}: {told}");
-            assert_eq!(told.lines().count(), 1, "{told}");
+            let out = run_daemon(lease_s, cancel_s, mode);
+            let stderr = String::from_utf8(out.stderr).unwrap();
+            assert_eq!(out.status.code(), Some(2), "{mode:?} {cancel_s}: {stderr}");
+            assert_eq!(stderr.lines().count(), 1, "{stderr}");
             for part in [
                 "deployment.workers.cancel_s",
                 &format!("found {cancel_s}"),
                 "allowed: at least",
                 &format!("lease_s {lease_s}"),
             ] {
-                assert!(told.contains(part), "{told}");
+                assert!(stderr.contains(part), "{stderr}");
             }
         }
     }
@@ -63,9 +63,9 @@
 
 /// Covers the leases of the known deployments of this service, and the minimum of `cancel_s`.
 #[test]
-fn leases_with_room_are_taken() {
+fn a_cancel_s_long_enough_for_the_leases_is_accepted() {
     for (lease_s, cancel_s) in [(10.0, 40.0), (15.25, 45.25), (22.0, 52.0), (10.0, 18.52)] {
-        let out = start(lease_s, cancel_s, &["--check"]);
+        let out = run_daemon(lease_s, cancel_s, &["--check"]);
         assert!(out.status.success(), "{lease_s} {cancel_s}: {out:?}");
     }
 }
--- a/crates/cherrywood/tests/simulate.rs
+++ b/crates/cherrywood/tests/simulate.rs
@@ -14,10 +14,11 @@
 }
 
 fn run(args: &[&str]) -> (i32, String, String) {
-    told(cherrywood(args).output().unwrap())
+    exit_code_and_output(cherrywood(args).output().unwrap())
 }
 
-fn told(o: Output) -> (i32, String, String) {
+/// Returns exit code, standard output and standard error.
+fn exit_code_and_output(o: Output) -> (i32, String, String) {
     let text = |b: Vec<u8>| String::from_utf8(b).unwrap();
     (
         o.status.code().unwrap_or(-1),
@@ -26,7 +27,7 @@
     )
 }
 
-fn file(dir: &Path, name: &str, text: &str) -> String {
+fn write_file(dir: &Path, name: &str, text: &str) -> String {
     let path = dir.join(name);
     std::fs::File::create(&path)
         .unwrap()
@@ -35,7 +36,7 @@
     path.display().to_string()
 }
 
-/// Short tasks on machines that boot at once.
+/// A scenario of short tasks on machines that boot within a second.
 const SHORT: &str = r"
 name: short
 play_s: 15
@@ -58,9 +59,9 @@
 
 /// A search plays every seed, and prints each seed that failed with the command that plays it.
 #[test]
-fn a_search_counts_its_scenarios_and_names_the_bad_ones() {
+fn a_search_counts_its_scenarios_and_names_the_seeds_that_failed() {
     let dir = tempfile::tempdir().unwrap();
-    let good = file(dir.path(), "good.yaml", SHORT);
+    let good = write_file(dir.path(), "good.yaml", SHORT);
     let (code, out, err) = run(&["simulate", &good, "--search", "3", "--seed", "5"]);
     assert_eq!(code, 0, "{out}{err}");
     assert!(
@@ -68,21 +69,21 @@
         "{out}"
     );
     let early = SHORT.replace("settle_s: 60", "settle_s: 0");
-    let bad = file(dir.path(), "bad.yaml", &early);
+    let bad = write_file(dir.path(), "bad.yaml", &early);
     let (code, out, _) = run(&["simulate", &bad, "--search", "2", "--seed", "5"]);
     assert_eq!(code, 1, "{out}");
-    let named = |seed: &str| {
+    let is_named = |seed: &str| {
         out.lines()
             .any(|l| l.starts_with(&format!("seed {seed}: settled ")))
     };
-    assert!(named("5") || named("6"), "{out}");
+    assert!(is_named("5") || is_named("6"), "{out}");
     assert!(!out.contains(" 0 not good"), "{out}");
     let (code, _, err) = run(&["simulate", &good, "--search", "0"]);
     assert_eq!((code, err.lines().count()), (2, 1), "{err}");
 }
 
 #[test]
-fn a_newcomer_s_first_command_settles_everything() {
+fn the_default_scenario_settles_every_job_and_writes_its_reports() {
     let dir = tempfile::tempdir().unwrap();
     let out = dir.path().join("out").display().to_string();
     let (code, stdout, stderr) = run(&["simulate", "--report", &out]);
@@ -104,9 +105,9 @@
 }
 
 #[test]
-fn the_life_of_a_job_is_told_across_controllers() {
+fn a_trace_shows_each_step_of_a_job_across_controllers() {
     let dir = tempfile::tempdir().unwrap();
-    let scenario = file(dir.path(), "short.yaml", SHORT);
+    let scenario = write_file(dir.path(), "short.yaml", SHORT);
     let out = dir.path().display().to_string();
     run(&["simulate", &scenario, "--report", &out]);
     let history = std::fs::read_to_string(dir.path().join("history.jsonl")).unwrap();
@@ -133,9 +134,9 @@
 }
 
 #[test]
-fn bad_input_gets_one_line_and_code_2() {
+fn invalid_input_exits_with_code_2_and_one_line() {
     let dir = tempfile::tempdir().unwrap();
-    let at = |name: &str, text: &str| file(dir.path(), name, text);
+    let at = |name: &str, text: &str| write_file(dir.path(), name, text);
     let zero = at(
         "zero.yaml",
         "name: n\nplay_s: 60\ndeployment:\n  controllers: 0\n",
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn schemas_describe_the_files() {
+fn each_file_format_has_a_schema() {
     for (which, part) in [
         ("scenario", "state_outage"),
         ("night", "state_outage"),
@@ -206,35 +207,35 @@
 /// Ports of a scenario with two more controllers than any test uses.
 const PORTS: u16 = 16;
 
-/// A base whose ports are free now.
+/// Returns the first of `PORTS` consecutive ports that are free at present, searching from `from`.
 fn free_ports(from: u16) -> u16 {
-    let free =
+    let is_free =
         |base: &u16| (*base..*base + PORTS).all(|p| TcpListener::bind(("127.0.0.1", p)).is_ok());
     (from..from + 2000)
         .step_by(usize::from(PORTS))
-        .find(free)
+        .find(is_free)
         .unwrap()
 }
 
 #[test]
 fn real_processes_settle_a_scenario_in_which_the_leader_is_killed() {
     let dir = tempfile::tempdir().unwrap();
-    let scenario = file(dir.path(), "short.yaml", SHORT);
+    let scenario = write_file(dir.path(), "short.yaml", SHORT);
     let port = free_ports(23_000).to_string();
     let (code, stdout, stderr) = run(&["simulate", &scenario, "--processes", "--port", &port]);
     assert_eq!(code, 0, "{stdout}{stderr}");
     assert!(stdout.lines().last().unwrap().contains("rules broken 0"));
     // A port in use is reported at once.
-    let _taken = TcpListener::bind(("127.0.0.1", port.parse().unwrap())).unwrap();
+    let _port_in_use = TcpListener::bind(("127.0.0.1", port.parse().unwrap())).unwrap();
     let (code, _, stderr) = run(&["simulate", &scenario, "--processes", "--port", &port]);
     assert_eq!((code, stderr.lines().count()), (2, 1), "{stderr}");
     assert!(stderr.contains(&format!("127.0.0.1:{port}")), "{stderr}");
 }
 
 #[test]
-fn an_interrupted_scenario_reports_what_was_played_and_leaves_nothing_behind() {
+fn an_interrupted_scenario_reports_its_results_and_leaves_no_process_behind() {
     let dir = tempfile::tempdir().unwrap();
-    let scenario = file(dir.path(), "short.yaml", SHORT);
+    let scenario = write_file(dir.path(), "short.yaml", SHORT);
     let port = free_ports(26_000);
     let args = [
         "simulate",
@@ -251,9 +252,9 @@
     std::thread::sleep(Duration::from_secs(4));
     let pid = Pid::from_raw(child.id().cast_signed()).unwrap();
     kill_process(pid, Signal::INT).unwrap();
-    let (code, stdout, _) = told(child.wait_with_output().unwrap());
+    let (code, stdout, _) = exit_code_and_output(child.wait_with_output().unwrap());
     assert_eq!(code, 1, "{stdout}");
     assert!(stdout.contains("stopped   interrupted at"), "{stdout}");
     assert!(stdout.lines().last().unwrap().starts_with("settled "));
-    assert_eq!(free_ports(port), port, "a controller is still there");
+    assert_eq!(free_ports(port), port, "a controller is still running");
 }
--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -4,7 +4,7 @@
 use crate::{Aim, Scenario, Trouble};
 use garde::{Error, Path, Report};
 
-fn list(names: &[&str]) -> String {
+fn join_names(names: &[&str]) -> String {
     names.join(", ")
 }
 
@@ -21,8 +21,9 @@
         .iter()
         .map(|c| c.name.as_str())
         .collect();
-    let mut bad = |path: Path, why: String| report.append(path, Error::new(why));
-    let one_of = |what: &str, names: &[&str]| format!("no such {what}; allowed: {}", list(names));
+    let mut reject = |path: Path, why: String| report.append(path, Error::new(why));
+    let unknown =
+        |what: &str, names: &[&str]| format!("no such {what}; allowed: {}", join_names(names));
     for (what, names, field) in [
         ("zone", &zones, "zones"),
         ("machine type", &kinds, "machine_types"),
@@ -32,92 +33,91 @@
         seen.sort_unstable();
         if let Some(w) = seen.windows(2).find(|w| w[0] == w[1]) {
             let why = format!("two {what}s are called {}", w[0]);
-            bad(root().join("deployment").join(field), why);
+            reject(root().join("deployment").join(field), why);
         }
     }
     let capacity = root().join("deployment").join("capacity");
     for (i, c) in d.capacity.iter().enumerate() {
         let at = |field| capacity.join(i).join(field);
         if !zones.contains(&c.zone.as_str()) {
-            bad(at("zone"), one_of("zone", &zones));
+            reject(at("zone"), unknown("zone", &zones));
         }
         let kind = d.machine_types.iter().find(|t| t.name == c.kind);
         if kind.is_none() {
-            bad(at("type"), one_of("machine type", &kinds));
+            reject(at("type"), unknown("machine type", &kinds));
         } else if c.spot > 0 && kind.is_some_and(|k| k.spot_price.is_none()) {
-            bad(at("spot"), format!("{} has no spot_price", c.kind));
+            reject(at("spot"), format!("{} has no spot_price", c.kind));
         }
         if c.up > c.count {
-            bad(at("up"), format!("more than count, which is {}", c.count));
+            reject(at("up"), format!("more than count, which is {}", c.count));
         }
     }
     let total: u32 = d.capacity.iter().map(|c| c.count + c.spot).sum();
     if total == 0 {
-        let why = "no machine can be rented".to_string();
-        bad(capacity, why);
+        reject(capacity, "no machine can be rented".to_string());
     }
     if d.workers.lease_s < 4.0 * d.workers.report_s {
         let path = root().join("deployment").join("workers").join("lease_s");
         let least = 4.0 * d.workers.report_s;
-        bad(path, format!("shorter than four reports, {least} s"));
+        reject(path, format!("shorter than four reports, {least} s"));
     }
     let least = cherrywood_limits::min_cancel_s(d.workers.lease_s);
     if d.workers.cancel_s < least {
         let path = root().join("deployment").join("workers").join("cancel_s");
-        bad(
+        reject(
             path,
             format!("too short beside lease_s; at least {least:.2} s"),
         );
     }
-    let lines = root().join("workload").join("pipelines");
+    let pipelines = root().join("workload").join("pipelines");
     for (i, p) in scenario.workload.pipelines.iter().enumerate() {
         for (n, stage) in p.stages.iter().enumerate() {
-            let at = |field| lines.join(i).join("stages").join(n).join(field);
+            let at = |field| pipelines.join(i).join("stages").join(n).join(field);
             let class = scenario
                 .workload
                 .classes
                 .iter()
                 .find(|c| c.name == stage.class);
             if class.is_none() {
-                bad(at("class"), one_of("class", &classes));
+                reject(at("class"), unknown("class", &classes));
             } else if class.is_some_and(|c| c.kind == JobKind::Standing) {
                 let why = "a standing job is never done; allowed: arrays".to_string();
-                bad(at("class"), why);
+                reject(at("class"), why);
             }
             if let Some(later) = stage.needs.iter().find(|m| **m >= n) {
                 let why = format!("found {later}; allowed: stages before it, 0 to {n} without {n}");
-                bad(at("needs"), why);
+                reject(at("needs"), why);
             }
         }
     }
-    let work = root().join("workload").join("classes");
+    let class_paths = root().join("workload").join("classes");
     for (i, c) in scenario.workload.classes.iter().enumerate() {
-        let at = |field| work.join(i).join(field);
+        let at = |field| class_paths.join(i).join(field);
         if let Some(team) = &c.team
             && !teams.contains(&team.as_str())
         {
-            bad(at("team"), one_of("team", &teams));
+            reject(at("team"), unknown("team", &teams));
         }
         if let Some(zone) = &c.zone
             && !zones.contains(&zone.as_str())
         {
-            bad(at("zone"), one_of("zone", &zones));
+            reject(at("zone"), unknown("zone", &zones));
         }
         if let Some(types) = &c.types
             && let Some(t) = types.iter().find(|t| !kinds.contains(&t.as_str()))
         {
-            bad(
+            reject(
                 at("types"),
-                format!("{t}: {}", one_of("machine type", &kinds)),
+                format!("{t}: {}", unknown("machine type", &kinds)),
             );
         }
         let fits = d.machine_types.iter().any(|t| {
-            let there = d.capacity.iter().any(|k| {
+            let is_offered = d.capacity.iter().any(|k| {
                 k.kind == t.name
                     && (k.count > 0 || c.spot && k.spot > 0)
                     && c.zone.as_ref().is_none_or(|z| *z == k.zone)
             });
-            there
+            is_offered
                 && c.types.as_ref().is_none_or(|a| a.contains(&t.name))
                 && c.cpus <= t.cpus
                 && c.gpus <= t.gpus
@@ -125,7 +125,7 @@
         });
         if !fits {
             let why = "a task fits no machine type that can be rented for it";
-            bad(at("cpus"), why.to_string());
+            reject(at("cpus"), why.to_string());
         }
         if c.kind == JobKind::Standing {
             let least = d
@@ -143,7 +143,7 @@
             let most = c.tasks.most.or(c.tasks.p95).unwrap_or(c.tasks.median);
             if most * c.cpus > least {
                 let why = format!("a standing job of {most} tasks is more than its team's limit");
-                bad(at("tasks"), why);
+                reject(at("tasks"), why);
             }
         }
     }
@@ -153,7 +153,7 @@
         if let Aim::Wait { class, .. } | Aim::Finished { class, .. } = a
             && class.is_empty()
         {
-            bad(aims.join(i), "class is empty".to_string());
+            reject(aims.join(i), "class is empty".to_string());
         }
     }
     let troubles = root().join("troubles");
@@ -161,7 +161,7 @@
         let at = |field| troubles.join(i).join(field);
         if t.at_s() >= scenario.play_s {
             let why = format!("after the end of play, which is at {} s", scenario.play_s);
-            bad(at("at_s"), why);
+            reject(at("at_s"), why);
         }
         let zone = match t {
             Trouble::ZoneCut(t) => Some(&t.zone),
@@ -173,28 +173,28 @@
             _ => None,
         };
         if zone.is_some_and(|z| !zones.contains(&z.as_str())) {
-            bad(at("zone"), one_of("zone", &zones));
+            reject(at("zone"), unknown("zone", &zones));
         }
         if let Trouble::JobBurst(t) = t
             && !classes.contains(&t.class.as_str())
         {
-            bad(at("class"), one_of("class", &classes));
+            reject(at("class"), unknown("class", &classes));
         }
     }
-    let mut span = |path: Path, from_s: f64, to_s: f64| {
+    let mut check_span = |path: Path, from_s: f64, to_s: f64| {
         if to_s <= from_s {
-            bad(path, format!("not after from_s, {from_s} s"));
+            reject(path, format!("not after from_s, {from_s} s"));
         } else if to_s > scenario.play_s {
             let why = format!("after the end of play, which is at {} s", scenario.play_s);
-            bad(path, why);
+            reject(path, why);
         }
     };
     for (i, draw) in scenario.drawn.iter().enumerate() {
         let path = root().join("drawn").join(i).join("to_s");
-        span(path, draw.from_s, draw.to_s);
+        check_span(path, draw.from_s, draw.to_s);
     }
     if let Some(compound) = &scenario.drawn_compound {
         let path = root().join("drawn_compound").join("to_s");
-        span(path, compound.from_s, compound.to_s);
+        check_span(path, compound.from_s, compound.to_s);
     }
 }
--- a/crates/scenario/src/compound.rs
+++ b/crates/scenario/src/compound.rs
@@ -9,12 +9,12 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The stream of chance that draws them.
-const STREAM: u64 = 0x636f_6d70_6f75_6e64;
-/// Failures that meet in one compound failure, at least and at most.
-const MEET: (usize, usize) = (2, 3);
-/// s around the election in which they begin.
-const AROUND_S: f64 = 4.0;
+/// Salt of the seed, so that compound failures have a random stream of their own.
+const STREAM_SALT: u64 = 0x636f_6d70_6f75_6e64;
+/// Minimum and maximum number of failures in one compound failure.
+const FAILURES: (usize, usize) = (2, 3);
+/// Maximum time (s) before or after the election at which a failure begins.
+const MAX_OFFSET_S: f64 = 4.0;
 /// Minimum time (s) for which users and machines run before the first fault, and for which the
 /// scenario continues after the begin of the last one.
 const MARGIN_S: f64 = 5.0;
@@ -123,12 +123,12 @@
     pub fn with_draws(self, seed: u64) -> Scenario {
         let mut scenario = self.with_fleet(seed);
         if let Some(compound) = scenario.drawn_compound.take() {
-            let mut rng = Pcg64::seed_from_u64(seed ^ STREAM);
+            let mut rng = Pcg64::seed_from_u64(seed ^ STREAM_SALT);
             if compound.deployment {
                 draw_deployment(&mut scenario.deployment, &mut rng);
             }
             for _ in 0..compound.count {
-                let troubles = draw_one(&scenario, &compound, &mut rng);
+                let troubles = draw_compound_failure(&scenario, &compound, &mut rng);
                 scenario.troubles.extend(troubles);
             }
         }
@@ -159,17 +159,21 @@
     }
 }
 
-/// An election, and two or three failures within seconds of it.
-fn draw_one(scenario: &Scenario, compound: &Compound, rng: &mut Pcg64) -> Vec<Trouble> {
+/// Draws one compound failure: an election, and two or three failures within seconds of it.
+fn draw_compound_failure(
+    scenario: &Scenario,
+    compound: &Compound,
+    rng: &mut Pcg64,
+) -> Vec<Trouble> {
     let of = match compound.of.as_slice() {
         [] => Failure::ALL,
         of => of,
     };
     let at_s = rng.random_range(compound.from_s..compound.to_s.max(compound.from_s + 0.1));
-    let mut troubles = vec![election(at_s, rng)];
-    for _ in 0..rng.random_range(MEET.0..=MEET.1) {
+    let mut troubles = vec![draw_election(at_s, rng)];
+    for _ in 0..rng.random_range(FAILURES.0..=FAILURES.1) {
         let failure = of[rng.random_range(0..of.len())];
-        let begins_s = at_s + rng.random_range(-AROUND_S..AROUND_S);
+        let begins_s = at_s + rng.random_range(-MAX_OFFSET_S..MAX_OFFSET_S);
         troubles.extend(failure.troubles(scenario, begins_s, rng));
     }
     let last_s = (scenario.play_s - MARGIN_S).max(MARGIN_S);
@@ -180,8 +184,8 @@
     troubles
 }
 
-/// What makes another controller lead.
-fn election(at_s: f64, rng: &mut Pcg64) -> Trouble {
+/// Draws a fault that makes another controller lead.
+fn draw_election(at_s: f64, rng: &mut Pcg64) -> Trouble {
     let who = Who::Leader;
     match rng.random_range(0..5) {
         0 => Trouble::NodeFreeze(NodeFreeze {
@@ -213,12 +217,12 @@
     pub fn troubles(self, scenario: &Scenario, at_s: f64, rng: &mut Pcg64) -> Vec<Trouble> {
         let d = &scenario.deployment;
         let (who, lease_s) = (Who::Leader, d.workers.lease_s);
-        let away_s = d.workers.cancel_s + BEYOND_CANCEL_S;
+        let outage_s = d.workers.cancel_s + BEYOND_CANCEL_S;
         let zone = d.zones[rng.random_range(0..d.zones.len())].clone();
         let classes = &scenario.workload.classes;
         let class = classes[rng.random_range(0..classes.len())].name.clone();
         let machines: u32 = d.capacity.iter().map(|c| c.count + c.spot).sum();
-        let some = (machines / 4).max(1);
+        let quarter = (machines / 4).max(1);
         let mode = [Cut::Hold, Cut::Reset][rng.random_range(0..2)];
         let cancel = |at_s, hang_s| {
             Trouble::CancelNow(CancelNow {
@@ -263,10 +267,10 @@
                 for_next,
             })
         };
-        let machines_cut = |for_s| {
+        let partitioned_machines = |for_s| {
             Trouble::MachineCut(MachineCut {
                 at_s,
-                count: some,
+                count: quarter,
                 for_s,
                 mode,
             })
@@ -279,21 +283,21 @@
                 times,
             })
         };
-        let looks = Trouble::CloseLooks(CloseLooks { at_s, for_s: 40.0 });
-        let odd = Trouble::OddRequests(OddRequests { at_s, for_s: 30.0 });
+        let close_queries = Trouble::CloseLooks(CloseLooks { at_s, for_s: 40.0 });
+        let invalid_requests = Trouble::OddRequests(OddRequests { at_s, for_s: 30.0 });
         match self {
             Failure::CancelDuringHandover => vec![cancel(at_s, None), crash(at_s + 0.5, Who::Any)],
             Failure::ZoneBoundLoseMachines => {
                 let zone = Some(zone);
                 vec![Trouble::MachineDie(MachineDie {
                     at_s,
-                    count: some,
+                    count: quarter,
                     zone,
                 })]
             }
             Failure::CancelOnLostMachines => vec![
                 cancel(at_s, Some(lease_s * 1.5)),
-                machines_cut(lease_s * 1.5),
+                partitioned_machines(lease_s * 1.5),
                 crash(at_s + 1.0, who),
             ],
             Failure::EndsFarApart => vec![ends(8.0, 4)],
@@ -307,7 +311,7 @@
                 };
                 let hang = MachineHang {
                     at_s: at_s + 2.0,
-                    count: some,
+                    count: quarter,
                     for_s: lease_s / 2.0,
                 };
                 vec![Trouble::LateCommands(late), Trouble::MachineHang(hang)]
@@ -319,48 +323,54 @@
                     share: 0.5,
                     ms: 1000.0,
                 };
-                let polls = PollStorm {
+                let queries = PollStorm {
                     at_s,
-                    for_s: away_s,
+                    for_s: outage_s,
                     times: 5.0,
                 };
                 vec![
                     Trouble::StateSlow(slow),
-                    Trouble::PollStorm(polls),
+                    Trouble::PollStorm(queries),
                     refused(10.0),
-                    outage(at_s + 8.0, away_s),
+                    outage(at_s + 8.0, outage_s),
                     cancel(at_s + 4.0, None),
                 ]
             }
-            Failure::LostAnswers => vec![writes(0.3, true), looks],
+            Failure::LostAnswers => vec![writes(0.3, true), close_queries],
             Failure::CommandsOnly => {
                 let (count, share, zone) = (None, Some(0.5), None);
                 let for_s = lease_s * 2.0;
-                let mute = MachineMute {
+                let partition = MachineMute {
                     at_s,
                     for_s,
                     count,
                     share,
                     zone,
                 };
-                vec![Trouble::MachineMute(mute), cancel(at_s + 3.0, None)]
+                vec![Trouble::MachineMute(partition), cancel(at_s + 3.0, None)]
             }
             Failure::CutLeader => {
                 let from = vec![Side::State, Side::Peers];
-                let cut = NodeCut {
+                let partition = NodeCut {
                     at_s,
                     for_s: 30.0,
                     who,
                     from,
                     mode,
                 };
-                vec![Trouble::NodeCut(cut), cancel(at_s + 12.0, None)]
+                vec![Trouble::NodeCut(partition), cancel(at_s + 12.0, None)]
             }
             Failure::ManyLeaders => vec![ends(12.0, 10), outage(at_s + 20.0, 15.0)],
             Failure::CancelAtRefusal => {
-                vec![cancel(at_s, None), refused(2.0), outage(at_s + 1.0, away_s)]
+                vec![
+                    cancel(at_s, None),
+                    refused(2.0),
+                    outage(at_s + 1.0, outage_s),
+                ]
+            }
+            Failure::CancelWhileUnreached => {
+                vec![partitioned_machines(20.0), cancel(at_s + 3.0, None)]
             }
-            Failure::CancelWhileUnreached => vec![machines_cut(20.0), cancel(at_s + 3.0, None)],
             Failure::ManySmallJobs => vec![burst(4.0), cancel_at_end(0.25)],
             Failure::ZoneCut => {
                 let for_s = lease_s * 1.5;
@@ -374,19 +384,22 @@
             Failure::WorkBeforeWrites => vec![burst(4.0), writes(0.3, false)],
             Failure::ReportsForNext => vec![reports(at_s - 5.0, 1.0, true)],
             Failure::UnreachedLongTasks => {
-                let (count, zone) = (some, Some(zone));
-                let deaf = MachineDeaf {
+                let (count, zone) = (quarter, Some(zone));
+                let partition = MachineDeaf {
                     at_s,
                     for_s: lease_s * 2.0,
                     count,
                     zone,
                 };
-                vec![Trouble::MachineDeaf(deaf), machines_cut(lease_s)]
+                vec![
+                    Trouble::MachineDeaf(partition),
+                    partitioned_machines(lease_s),
+                ]
             }
             Failure::Overload => vec![burst(6.0)],
-            Failure::CloseLooks => vec![looks, odd, cancel(at_s + 1.0, None)],
+            Failure::CloseLooks => vec![close_queries, invalid_requests, cancel(at_s + 1.0, None)],
             Failure::OldReports => vec![reports(at_s, 0.8, false)],
-            Failure::RequestsAtEnd => vec![cancel_at_end(0.8), looks, odd],
+            Failure::RequestsAtEnd => vec![cancel_at_end(0.8), close_queries, invalid_requests],
             Failure::LateTransactions => vec![writes(0.4, false)],
             Failure::AllAway => {
                 let (for_s, who) = (lease_s * 1.5, Who::All);
--- a/crates/scenario/src/deployment.rs
+++ b/crates/scenario/src/deployment.rs
@@ -40,7 +40,7 @@
 
 impl Default for Deployment {
     fn default() -> Self {
-        let room = |zone: &str, kind: &str, count, spot| Capacity {
+        let capacity_of = |zone: &str, kind: &str, count, spot| Capacity {
             kind: kind.into(),
             zone: zone.into(),
             count,
@@ -49,8 +49,8 @@
         };
         let mut capacity = Vec::new();
         for zone in ["north", "south", "west"] {
-            capacity.push(room(zone, "c8", 4, 4));
-            capacity.push(room(zone, "c32", 2, 2));
+            capacity.push(capacity_of(zone, "c8", 4, 4));
+            capacity.push(capacity_of(zone, "c32", 2, 2));
         }
         let team = |name: &str, cpus, cpus_max| Team {
             name: name.into(),
@@ -165,6 +165,7 @@
     /// One-way latency (ms) inside a zone.
     #[garde(range(min = 0.0, max = 1000.0))]
     pub same_zone_ms: f64,
+    /// One-way latency (ms) between zones.
     #[garde(range(min = 0.0, max = 1000.0))]
     pub cross_zone_ms: f64,
     /// Maximum additional latency of a packet, as a share of its latency.
@@ -192,6 +193,7 @@
     /// Limit on requests per second.
     #[garde(range(min = 1.0, max = 1.0e6))]
     pub rps: f64,
+    /// Limit on changes per second.
     #[garde(range(min = 1.0, max = 1.0e6))]
     pub write_rps: f64,
     #[garde(range(min = 4.0, max = 1024.0))]
@@ -344,6 +346,7 @@
     /// Share of machines whose boot takes several times as long.
     #[garde(range(min = 0.0, max = 1.0))]
     pub boot_late: f64,
+    /// Share of machines that never boot.
     #[garde(range(min = 0.0, max = 1.0))]
     pub boot_never: f64,
 }
@@ -378,6 +381,7 @@
     #[serde(default)]
     #[garde(range(max = 100_000))]
     pub count: u32,
+    /// Number of spot machines.
     #[serde(default)]
     #[garde(range(max = 100_000))]
     pub spot: u32,
@@ -396,22 +400,25 @@
     #[serde(default)]
     #[garde(range(min = 0.0))]
     pub cpus: f64,
+    /// Maximum CPUs; 0 for no limit.
     #[serde(default)]
     #[garde(range(min = 0.0))]
     pub cpus_max: f64,
+    /// Guaranteed GPUs; 0 for no guarantee.
     #[serde(default)]
     #[garde(range(min = 0.0))]
     pub gpus: f64,
+    /// Maximum GPUs; 0 for no limit.
     #[serde(default)]
     #[garde(range(min = 0.0))]
     pub gpus_max: f64,
     /// Weight of the team in the draw for a job whose class names no team.
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     #[garde(range(min = 0.001, max = 1000.0))]
     pub weight: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
--- a/crates/scenario/src/draw.rs
+++ b/crates/scenario/src/draw.rs
@@ -97,8 +97,8 @@
     pub one_type: f64,
 }
 
-/// The type with the most CPUs.
-fn largest(d: &crate::Deployment) -> Option<String> {
+/// Returns the machine type with the most CPUs.
+fn largest_machine_type(d: &crate::Deployment) -> Option<String> {
     let by_cpus = |a: &&crate::deployment::MachineType, b: &&crate::deployment::MachineType| {
         a.cpus.total_cmp(&b.cpus)
     };
@@ -120,12 +120,12 @@
         d.node.restart_s = (between(fleet.restart_s) * 10.0).round() / 10.0;
         for c in &mut d.capacity {
             let times = between(fleet.times);
-            let whole = |n: u32| (f64::from(n) * times).round() as u32;
-            (c.count, c.spot) = (whole(c.count).max(1), whole(c.spot));
+            let scaled = |n: u32| (f64::from(n) * times).round() as u32;
+            (c.count, c.spot) = (scaled(c.count).max(1), scaled(c.spot));
             c.up = c.up.min(c.count);
         }
         if between([0.0, 1.0]) < fleet.one_type
-            && let Some(only) = largest(d)
+            && let Some(only) = largest_machine_type(d)
         {
             // Every job fits the largest type.
             for c in &mut d.capacity {
@@ -151,14 +151,15 @@
             for _ in 0..draw.count {
                 let kind = of[rng.random_range(0..of.len())];
                 let at = rng.random_range(draw.from_s..draw.to_s.max(draw.from_s + 0.1));
-                all.push(self.one(kind, (at * 10.0).round() / 10.0, &mut rng));
+                all.push(self.draw_fault(kind, (at * 10.0).round() / 10.0, &mut rng));
             }
         }
         all.sort_by(|a, b| a.at_s().total_cmp(&b.at_s()));
         all
     }
 
-    fn one(&self, kind: Kind, at_s: f64, rng: &mut Pcg64) -> Trouble {
+    /// Draws the parameters of a fault of this kind.
+    fn draw_fault(&self, kind: Kind, at_s: f64, rng: &mut Pcg64) -> Trouble {
         let d = &self.deployment;
         let mut between =
             |least: f64, most: f64| (rng.random_range(least..most) * 10.0).round() / 10.0;
--- a/crates/scenario/src/file.rs
+++ b/crates/scenario/src/file.rs
@@ -23,7 +23,7 @@
     }
 
     pub fn parse(file: &str, text: &str) -> Result<Scenario, FileError> {
-        parse::<Checked>(file, text).map(|c| c.0)
+        parse::<CheckedScenario>(file, text).map(|c| c.0)
     }
 }
 
@@ -38,15 +38,15 @@
     T: DeserializeOwned + Validate,
     T::Context: Default,
 {
-    serde_saphyr::from_str_valid(text).map_err(|e| FileError(explain(file, text, &e)))
+    serde_saphyr::from_str_valid(text).map_err(|e| FileError(format_error(file, text, &e)))
 }
 
 /// A scenario that is also validated across its fields.
 #[derive(serde::Deserialize)]
 #[serde(transparent)]
-struct Checked(Scenario);
+struct CheckedScenario(Scenario);
 
-impl Validate for Checked {
+impl Validate for CheckedScenario {
     type Context = ();
 
     fn validate_into(
@@ -62,7 +62,8 @@
     }
 }
 
-fn explain(file: &str, text: &str, error: &serde_saphyr::Error) -> String {
+/// Formats an error as one line.
+fn format_error(file: &str, text: &str, error: &serde_saphyr::Error) -> String {
     let plain = error.without_snippet().to_string();
     // Only the first error is reported: the others show once it is corrected.
     let first = plain.lines().next().unwrap_or_default();
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -25,8 +25,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Letters, digits and dashes; names the report.
-    #[garde(length(min = 1, max = 60), custom(plain))]
+    /// Name of the scenario and its report: lower-case letters, digits and dashes.
+    #[garde(length(min = 1, max = 60), custom(is_plain_name))]
     pub name: String,
     /// Purpose of the scenario.
     #[serde(default)]
@@ -35,8 +35,8 @@
     /// Time (s) during which users submit jobs.
     #[garde(range(min = 10.0, max = 86_400.0))]
     pub play_s: f64,
-    /// s after that in which everything must settle, at most.
-    #[serde(default = "settle_s")]
+    /// Maximum time (s) after `play_s` within which all jobs must settle.
+    #[serde(default = "default_settle_s")]
     #[garde(range(min = 0.0, max = 86_400.0))]
     pub settle_s: f64,
     #[serde(default)]
@@ -67,9 +67,9 @@
     pub seed: Option<u64>,
 }
 
-fn plain(name: &str, _: &()) -> garde::Result {
-    let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    if name.chars().all(plain) {
+fn is_plain_name(name: &str, _: &()) -> garde::Result {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    if name.chars().all(is_allowed) {
         Ok(())
     } else {
         Err(garde::Error::new(
@@ -78,7 +78,7 @@
     }
 }
 
-fn settle_s() -> f64 {
+fn default_settle_s() -> f64 {
     900.0
 }
 
@@ -114,9 +114,9 @@
     /// `by`.
     #[must_use]
     pub fn scaled(mut self, by: f64) -> Scenario {
-        let whole = |n: u32| (f64::from(n) * by).round() as u32;
+        let scaled = |n: u32| (f64::from(n) * by).round() as u32;
         for c in &mut self.deployment.capacity {
-            (c.count, c.spot, c.up) = (whole(c.count), whole(c.spot), whole(c.up));
+            (c.count, c.spot, c.up) = (scaled(c.count), scaled(c.spot), scaled(c.up));
         }
         for t in &mut self.deployment.teams {
             t.cpus *= by;
@@ -124,7 +124,7 @@
         }
         for c in &mut self.workload.classes {
             c.per_minute *= by;
-            c.at_start = whole(c.at_start);
+            c.at_start = scaled(c.at_start);
         }
         self
     }
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -203,7 +203,7 @@
         #[garde(skip)]
         when: Lost,
         /// Delay (s) after which a late request is executed.
-        #[serde(default = "late_s")]
+        #[serde(default = "default_late_s")]
         #[garde(range(min = 0.1, max = 600.0))]
         late_s: f64,
     }
@@ -430,7 +430,7 @@
     }
 }
 
-fn late_s() -> f64 {
+fn default_late_s() -> f64 {
     5.0
 }
 
@@ -533,8 +533,8 @@
         }
     }
 
-    /// Can it be made with real processes on loopback? Paths between them can't
-    /// be broken there, nor their processor be slowed.
+    /// Whether the fault can be injected into real processes on loopback, where network paths
+    /// cannot be partitioned and the processor cannot be slowed down.
     pub fn on_loopback(&self) -> bool {
         use Trouble as T;
         !matches!(
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -18,7 +18,7 @@
     /// Share of jobs whose submission is repeated after their end.
     #[garde(range(min = 0.0, max = 1.0))]
     pub repeats: f64,
-    /// Share of jobs that can never run and must be refused.
+    /// Share of jobs that can never run.
     #[garde(range(min = 0.0, max = 1.0))]
     pub impossible: f64,
     /// Share of users who ignore `Retry-After` and retry after a second.
@@ -66,8 +66,8 @@
 pub struct Stage {
     #[garde(length(min = 1, max = 60))]
     pub class: String,
-    /// Jobs of it.
-    #[serde(default = "one")]
+    /// Number of jobs of the stage.
+    #[serde(default = "default_jobs")]
     #[garde(range(min = 1, max = 1000))]
     pub jobs: u32,
     /// Earlier stages whose jobs this stage depends on, counted from 0.
@@ -76,7 +76,7 @@
     pub needs: Vec<usize>,
 }
 
-fn one() -> u32 {
+fn default_jobs() -> u32 {
     1
 }
 
@@ -218,8 +218,10 @@
     /// CPUs of each task.
     #[garde(range(min = 0.01, max = 100_000.0))]
     pub cpus: f64,
+    /// GPUs of each task.
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub gpus: f64,
+    /// Memory (GB) of each task.
     #[garde(range(min = 0.0, max = 1.0e6))]
     pub ram_gb: f64,
     #[garde(dive)]
--- a/crates/scenario/tests/scenario.rs
+++ b/crates/scenario/tests/scenario.rs
@@ -3,17 +3,18 @@
 use cherrywood_scenario::{Scenario, draw};
 use garde::Validate;
 
-fn refused(text: &str) -> String {
+/// Returns the error of a scenario that is rejected, which must be a single line.
+fn rejection(text: &str) -> String {
     let err = Scenario::parse("n.yaml", text).unwrap_err().to_string();
     assert!(!err.contains('\n'), "one line: {err}");
     err
 }
 
 #[test]
-fn an_error_names_file_line_field_what_was_found_and_what_is_allowed() {
+fn an_error_names_file_line_field_value_and_allowed_values() {
     let scenario = "name: n\nplay_s: 60\n";
     assert!(Scenario::parse("n.yaml", scenario).is_ok());
-    let of = |rest: &str| refused(&format!("{scenario}{rest}"));
+    let error_of = |rest: &str| rejection(&format!("{scenario}{rest}"));
     for (rest, parts) in [
         (
             "deployment:\n  controllers: 0\n",
@@ -45,18 +46,18 @@
             ["line 6", "troubles[0].for_s", "lower than", "found -2"],
         ),
     ] {
-        let err = of(rest);
+        let err = error_of(rest);
         assert!(err.starts_with("n.yaml, "), "{err}");
         for part in parts {
             assert!(err.contains(part), "{part:?} not in: {err}");
         }
     }
-    assert!(refused("name: N!\nplay_s: 60\n").contains("line 1, name"));
-    assert!(refused("name: [\n").contains("line"));
+    assert!(rejection("name: N!\nplay_s: 60\n").contains("line 1, name"));
+    assert!(rejection("name: [\n").contains("line"));
 }
 
 #[test]
-fn an_impossible_scenario_is_refused_with_the_field_to_blame() {
+fn a_contradictory_scenario_is_rejected_with_the_invalid_field() {
     let scenario = "name: n\nplay_s: 60\n";
     for (rest, parts) in [
         (
@@ -81,7 +82,7 @@
         ),
         ("deployment:\n  zones: []\n", ["line 4", "zones", ""]),
     ] {
-        let err = refused(&format!("{scenario}{rest}"));
+        let err = rejection(&format!("{scenario}{rest}"));
         for part in parts {
             assert!(err.contains(part), "{part:?} not in: {err}");
         }
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn drawn_troubles_come_from_the_seed_alone() {
+fn drawn_faults_depend_on_the_seed_alone_and_are_valid() {
     let text = "name: n\nplay_s: 300\ndrawn:\n  - {count: 5, from_s: 60, to_s: 200}\n";
     let scenario = Scenario::parse("n.yaml", text).unwrap();
     let a = scenario.all_troubles(7);
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_drawn_fleet_comes_from_the_seed_and_is_possible() {
+fn a_drawn_fleet_depends_on_the_seed_alone_and_is_valid() {
     let text = "name: n\nplay_s: 300\ndrawn_fleet: {controllers: [3, 7], \
                 restart_s: [0.1, 2], times: [0.5, 2.5], one_type: 0.4}\n";
     let scenario = Scenario::parse("n.yaml", text).unwrap();
@@ -133,21 +134,21 @@
 }
 
 #[test]
-fn a_size_changes_machines_teams_and_traffic_alike() {
+fn scaling_multiplies_machines_teams_and_traffic() {
     let scenario = Scenario::parse("n.yaml", "name: n\nplay_s: 60\n").unwrap();
-    let ten = scenario.clone().scaled(10.0);
+    let scaled = scenario.clone().scaled(10.0);
     let machines = |n: &Scenario| -> u32 {
         let all = n.deployment.capacity.iter();
         all.map(|c| c.count + c.spot).sum()
     };
-    assert_eq!(machines(&ten), 10 * machines(&scenario));
-    assert!(ten.validate().is_ok());
+    assert_eq!(machines(&scaled), 10 * machines(&scenario));
+    assert!(scaled.validate().is_ok());
 }
 
 #[test]
-fn the_troubles_of_users_and_late_reports_are_read_and_checked() {
+fn faults_of_users_and_late_reports_are_parsed_and_validated() {
     let scenario = "name: n\nplay_s: 60\ntroubles:\n";
-    let good = "  - cancel_now: {at_s: 5, count: 3, hang_s: 8}\n\
+    let valid = "  - cancel_now: {at_s: 5, count: 3, hang_s: 8}\n\
                 \x20 - cancel_at_end: {at_s: 5, for_s: 3, share: 0.5}\n\
                 \x20 - machine_mute: {at_s: 5, for_s: 3, zone: north}\n\
                 \x20 - odd_requests: {at_s: 5, for_s: 3}\n\
@@ -156,9 +157,9 @@
                 \x20 - late_reports: {at_s: 5, for_s: 3, share: 0.5, for_next: true}\n\
                 \x20 - report_copies: {at_s: 5, for_s: 3, share: 0.5, late_s: 9}\n\
                 \x20 - late_commands: {at_s: 5, for_s: 3, share: 0.5}\n";
-    let read = Scenario::parse("n.yaml", &format!("{scenario}{good}")).unwrap();
+    let read = Scenario::parse("n.yaml", &format!("{scenario}{valid}")).unwrap();
     let names: Vec<&str> = read.troubles.iter().map(|t| t.name()).collect();
-    assert_eq!(names[7], "late_reports", "its earlier name is read");
+    assert_eq!(names[7], "late_reports", "the former name is accepted");
     assert_eq!(read.troubles[0].for_s(), Some(8.0));
     for (rest, parts) in [
         (
@@ -174,7 +175,7 @@
             ["line 4", "share", "found 2"],
         ),
     ] {
-        let err = refused(&format!("{scenario}{rest}"));
+        let err = rejection(&format!("{scenario}{rest}"));
         for part in parts {
             assert!(err.contains(part), "{part:?} not in: {err}");
         }
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn a_compound_failure_meets_within_seconds_of_an_election() {
+fn the_faults_of_a_compound_failure_begin_within_seconds_of_an_election() {
     let text = "name: n\nplay_s: 300\n\
                 drawn_compound: {count: 1, from_s: 100, to_s: 101, deployment: true}\n";
     let scenario = Scenario::parse("n.yaml", text).unwrap();
@@ -194,13 +195,14 @@
         assert_eq!(
             drawn,
             drawn.clone().with_draws(seed),
-            "nothing is left to draw"
+            "nothing remains to be drawn"
         );
         drawn.validate().unwrap_or_else(|e| panic!("{seed}: {e}"));
         let troubles = &drawn.troubles;
         assert!(troubles.len() >= 3, "{troubles:?}");
-        let around = |t: &cherrywood_scenario::Trouble| (75.0..=130.0).contains(&t.at_s());
-        assert!(troubles.iter().all(around), "{troubles:?}");
+        let is_near_election =
+            |t: &cherrywood_scenario::Trouble| (75.0..=130.0).contains(&t.at_s());
+        assert!(troubles.iter().all(is_near_election), "{troubles:?}");
         names.extend(troubles.iter().map(|t| t.name()));
         controllers.insert(drawn.deployment.controllers);
     }
@@ -211,20 +213,20 @@
 }
 
 #[test]
-fn a_span_of_compound_failures_must_lie_in_the_play() {
+fn compound_failures_outside_the_play_time_are_rejected() {
     let text = "name: n\nplay_s: 300\ndrawn_compound: {count: 1, from_s: 100, to_s: 400}\n";
-    let err = refused(text);
+    let err = rejection(text);
     assert!(
         err.contains("drawn_compound") && err.contains("after the end of play"),
         "{err}"
     );
     let text = "name: n\nplay_s: 300\ndrawn_compound: {count: 1, from_s: 100, to_s: 90}\n";
-    assert!(refused(text).contains("not after from_s"));
+    assert!(rejection(text).contains("not after from_s"));
 }
 
 /// Operators run 4,000 machines with five or fourteen controllers.
 #[test]
-fn a_scenario_file_can_describe_5000_machines_and_their_work() {
+fn a_scenario_with_5000_machines_and_their_workload_is_valid() {
     let text = "name: n\nplay_s: 600\n\
         deployment:\n  controllers: 14\n  zones: [a, b, c, d]\n  node: {sockets: 2948}\n  \
         state: {rps: 700, write_rps: 300}\n  cloud: {rps: 7}\n  \
@@ -238,5 +240,5 @@
     let capacity = scenario.deployment.capacity.iter();
     assert_eq!(capacity.map(|c| c.count + c.spot).sum::<u32>(), 5_000);
     let larger = scenario.scaled(4.0);
-    assert!(larger.validate().is_ok(), "20,000 as well");
+    assert!(larger.validate().is_ok(), "20,000 machines");
 }
