--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -159,11 +159,11 @@
             tasks: 1,
             ended_at_ms: None,
         };
-        self.put(&keys::ended(id), StoredRecord::FinalState(value));
+        self.put(&keys::final_state(id), StoredRecord::FinalState(value));
     }
 
     pub fn final_state(&self, id: &str) -> Option<JobState> {
-        match self.records.get(&keys::ended(id)) {
+        match self.records.get(&keys::final_state(id)) {
             Some((StoredRecord::FinalState(f), _)) => Some(f.state),
             _ => None,
         }
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -34,7 +34,7 @@
     exchange_heartbeat(&mut leader, &mut store, &mut worker, "n1", 3.0);
     assert!(worker.tasks.is_empty());
     assert_eq!(store.revision_of(&keys::job("wk-000001")), 0);
-    match &store.records[&keys::ended("wk-000001")].0 {
+    match &store.records[&keys::final_state("wk-000001")].0 {
         StoredRecord::FinalState(f) => assert_eq!(f.state, JobState::Done),
         other => panic!("{other:?}"),
     }
@@ -781,5 +781,5 @@
     );
     assert!(leader.keys_to_reread.is_empty());
     write_all(&mut leader, &mut store);
-    assert!(store.records.contains_key(&keys::ended("wk-000001")));
+    assert!(store.records.contains_key(&keys::final_state("wk-000001")));
 }
--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -472,7 +472,7 @@
 #[test]
 fn submission_parts_that_a_newly_written_record_names_are_not_deleted() {
     let part = |store: &mut Store, id: &str| {
-        let key = format!("{}0", keys::parts(&keys::submission(id), 5));
+        let key = format!("{}0", keys::chunk_prefix(&keys::submission(id), 5));
         let text = String::new();
         let value = cherrywood_wire::chunks::ChunkRecord { set_id: 5, text };
         store.put(&key, StoredRecord::Chunk(value));
--- a/crates/node/src/job_records.rs
+++ b/crates/node/src/job_records.rs
@@ -46,7 +46,7 @@
 /// Guards that hold only while neither a live nor a final record of this job exists.
 fn new_job_guards(id: &str) -> Vec<Guard> {
     let absent = |key| Guard { key, revision: 0 };
-    vec![absent(keys::job(id)), absent(keys::ended(id))]
+    vec![absent(keys::job(id)), absent(keys::final_state(id))]
 }
 
 /// Writes the record of a new job that was accepted at this wall-clock time (ms). Returns the
@@ -100,7 +100,7 @@
     let txn = Txn {
         guards: new_job_guards(&job.id),
         changes: vec![put(
-            keys::ended(&job.id),
+            keys::final_state(&job.id),
             StoredRecord::FinalState(value.clone()),
         )],
     };
--- a/crates/node/tests/stalled_process.rs
+++ b/crates/node/tests/stalled_process.rs
@@ -70,7 +70,10 @@
         state.term.leader = Some(leader);
         state.leader_contact.known_leader = Some(node.label().to_string());
         let now = node.now();
-        state.term.leadership.acquired(5, now, &node.timing);
+        state
+            .term
+            .leadership
+            .leader_key_acquired(5, now, &node.timing);
         state.term.leadership.view_completed(5, now);
     }
     let frame = |sequence| PeerRequest::Heartbeats {
@@ -105,7 +108,7 @@
     node.lock_state()
         .term
         .leadership
-        .acquired(5, since, &node.timing);
+        .leader_key_acquired(5, since, &node.timing);
     assert!(!is_accepted(run(node.handle_peer_request(frame(2)))));
     let reply = run(node.handle_peer_request(hello()));
     assert_eq!(leads_and_shard_size(reply), (false, 0));
