--- a/crates/cherrywood/tests/simulate.rs
+++ b/crates/cherrywood/tests/simulate.rs
@@ -118,13 +118,13 @@
     for step in [
         "submits",
         "submission{job=",
-        "enters the queue",
+        "tasks queued",
         "placed",
-        "in the ledger",
+        "written to the ledger",
         "start sent",
         "runs wk-",
         "exited",
-        "final state on its way",
+        "final state write in flight",
         "200 Done",
     ] {
         assert!(stdout.contains(step), "{step:?} not in\n{stdout}");
