--- a/crates/checker/src/aims.rs
+++ b/crates/checker/src/measurements.rs
@@ -1,41 +1,43 @@
-//! Aims, price and useful work, counted as the protocol page says.
+//! Measures objectives, price and useful work as the protocol page defines them.
 
 use crate::history::{Aim, Event, Facts, Job, Off, State, What, job_of};
 use std::collections::BTreeMap;
 
-/// s within which a command to stop undoes a start.
-const START_HOLDS_MS: u64 = 30_000;
+/// Time within which a command to stop makes a start not count, in ms.
+const START_CONFIRMED_MS: u64 = 30_000;
 
-/// One class of jobs.
+/// Figures of one class of jobs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClassFigures {
     pub jobs: usize,
     pub done: usize,
-    /// s from the first attempt to submit to the end of the last task.
+    /// Mean and 95th percentile of the time from when a job was ready (submitted for the first
+    /// time, and all jobs that it needs done) to the end of its last task, in s.
     pub done_mean_s: f64,
     pub done_p95_s: f64,
-    /// s from the first attempt to the start of a task.
+    /// Mean and 95th percentile of the time from when a job was ready to the start of each task,
+    /// in s.
     pub wait_mean_s: f64,
     pub wait_p95_s: f64,
 }
 
-/// An aim, what was reached, and whether that is enough.
+/// An objective, the value reached, and whether it is met.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reached {
+pub struct ObjectiveResult {
     pub aim: Aim,
     pub got: f64,
     pub met: bool,
-    /// Jobs or tasks that count.
+    /// Number of jobs or tasks that count.
     pub of: usize,
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Aims {
-    pub reached: Vec<Reached>,
+pub struct Measurements {
+    pub reached: Vec<ObjectiveResult>,
     pub classes: BTreeMap<String, ClassFigures>,
-    /// Of all classes together.
+    /// Figures of all classes together.
     pub all: ClassFigures,
-    /// Money, in the price lists' unit.
+    /// Money spent, in the unit of the price lists.
     pub cost: f64,
     pub useful_cost: f64,
     pub useful_cpu_s: f64,
@@ -43,39 +45,39 @@
 }
 
 #[derive(Debug)]
-struct Tracked {
+struct TrackedJob {
     job: Job,
-    /// When it could start: submitted, or all that it needs done.
-    at: u64,
+    /// Time at which the job could start: submitted, and all jobs that it needs done.
+    ready_ms: u64,
     submitted: u64,
     accepted: Option<u64>,
     refused: bool,
     unwanted: bool,
-    told_done: Option<u64>,
-    /// First start of each task that counts.
+    reported_done: Option<u64>,
+    /// Time of the first start of each task that counts.
     started: BTreeMap<u32, u64>,
-    /// Starts that may still be undone by a stop.
-    fresh: BTreeMap<u32, u64>,
+    /// Times of starts that a stop may still make not count.
+    unconfirmed: BTreeMap<u32, u64>,
     done: BTreeMap<u32, u64>,
     guaranteed: bool,
 }
 
-impl Tracked {
+impl TrackedJob {
     fn last_done(&self) -> Option<u64> {
         (self.done.len() as u32 == self.job.tasks)
             .then(|| self.done.values().max().copied())
             .flatten()
     }
 
-    fn settle(&mut self, now: u64) {
-        let held: Vec<u32> = self
-            .fresh
+    fn confirm_starts(&mut self, now: u64) {
+        let confirmed: Vec<u32> = self
+            .unconfirmed
             .iter()
-            .filter(|(_, at)| now >= **at + START_HOLDS_MS)
+            .filter(|(_, at)| now >= **at + START_CONFIRMED_MS)
             .map(|(n, _)| *n)
             .collect();
-        for n in held {
-            if let Some(at) = self.fresh.remove(&n) {
+        for n in confirmed {
+            if let Some(at) = self.unconfirmed.remove(&n) {
                 self.started.entry(n).or_insert(at);
             }
         }
@@ -86,11 +88,12 @@
 struct Machine {
     cpus: f64,
     since: u64,
-    /// CPU-seconds of useful work done on it.
+    /// CPU-seconds of useful work done on the machine.
     useful: f64,
 }
 
-/// The value below which `share` of the sorted values lie.
+/// Returns the smallest value such that at least `share` of the sorted values are no larger, or
+/// 0 if there is none.
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
     if sorted.is_empty() {
         return 0.0;
@@ -103,7 +106,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// Share of `of` things, and how many counted; 1 of nothing.
+/// Returns `hits` as a share of `of`; 1 if `of` is 0.
 fn share(hits: usize, of: usize) -> f64 {
     if of == 0 {
         1.0
@@ -112,7 +115,7 @@
     }
 }
 
-pub fn count(events: &[Event]) -> Aims {
+pub fn measure(events: &[Event]) -> Measurements {
     let mut facts = Facts {
         cancel_s: 0.0,
         teams: Vec::new(),
@@ -120,25 +123,25 @@
         aims: Vec::new(),
         served: None,
     };
-    let mut jobs: BTreeMap<String, Tracked> = BTreeMap::new();
+    let mut jobs: BTreeMap<String, TrackedJob> = BTreeMap::new();
     let mut machines: BTreeMap<String, Machine> = BTreeMap::new();
-    let mut aims = Aims::default();
+    let mut measured = Measurements::default();
     for e in events {
         let at = e.at_ms;
         match &e.what {
             What::Begins { facts: f, .. } => facts = f.clone(),
             What::Submitted { job } => {
                 let guaranteed = fits_guarantee(&facts, &jobs, job);
-                let t = Tracked {
+                let t = TrackedJob {
                     job: job.clone(),
-                    at,
+                    ready_ms: at,
                     submitted: at,
                     accepted: None,
                     refused: false,
                     unwanted: false,
-                    told_done: None,
+                    reported_done: None,
                     started: BTreeMap::new(),
-                    fresh: BTreeMap::new(),
+                    unconfirmed: BTreeMap::new(),
                     done: BTreeMap::new(),
                     guaranteed,
                 };
@@ -156,7 +159,7 @@
                     _ => {}
                 }
                 if *state == Some(State::Done) {
-                    t.told_done.get_or_insert(at);
+                    t.reported_done.get_or_insert(at);
                 }
             }
             What::Unwanted { job } => {
@@ -174,23 +177,23 @@
                 machines.insert(machine.clone(), m);
             }
             What::Gone { machine, cost, .. } => {
-                aims.cost += cost;
+                measured.cost += cost;
                 if let Some(m) = machines.get(machine) {
-                    // Its whole price, for the share of it that did good.
+                    // The cost of the machine times the useful share of its CPU time.
                     let all = m.cpus * (at - m.since).max(1) as f64 / 1000.0;
-                    aims.useful_cost += cost * (m.useful / all).min(1.0);
-                    aims.useful_cpu_s += m.useful;
+                    measured.useful_cost += cost * (m.useful / all).min(1.0);
+                    measured.useful_cpu_s += m.useful;
                 }
             }
             What::On { task, .. } => {
-                if let Some((t, n)) = find(&mut jobs, task) {
-                    t.fresh.insert(n, at);
+                if let Some((t, n)) = find_task(&mut jobs, task) {
+                    t.unconfirmed.insert(n, at);
                 }
             }
             What::Stops { task, .. } => {
-                if let Some((t, n)) = find(&mut jobs, task) {
-                    t.settle(at);
-                    t.fresh.remove(&n);
+                if let Some((t, n)) = find_task(&mut jobs, task) {
+                    t.confirm_starts(at);
+                    t.unconfirmed.remove(&n);
                 }
             }
             What::Off {
@@ -200,7 +203,7 @@
                 kept_s,
                 ..
             } => {
-                if let Some((t, n)) = find(&mut jobs, task) {
+                if let Some((t, n)) = find_task(&mut jobs, task) {
                     let cpus = t.job.cpus;
                     if *why == Off::Done {
                         t.done.entry(n).or_insert(at);
@@ -214,59 +217,66 @@
         }
     }
     for t in jobs.values_mut() {
-        t.settle(u64::MAX);
+        t.confirm_starts(u64::MAX);
     }
     let cheapest = facts
         .kinds
         .iter()
         .map(|k| k.spot_price.unwrap_or(k.price).min(k.price) / k.cpus.max(0.001))
         .fold(f64::INFINITY, f64::min);
-    let worth = aims.useful_cpu_s * cheapest / 3600.0;
-    aims.price = if worth > 0.0 { aims.cost / worth } else { 0.0 };
-    wait_counts_from_ready(&mut jobs);
-    aims.classes = classes(&jobs);
-    aims.all = figures(jobs.values().filter(|t| !t.unwanted && !t.refused));
-    aims.reached = facts
+    let worth = measured.useful_cpu_s * cheapest / 3600.0;
+    measured.price = if worth > 0.0 {
+        measured.cost / worth
+    } else {
+        0.0
+    };
+    set_ready_times(&mut jobs);
+    measured.classes = classes(&jobs);
+    measured.all = figures(jobs.values().filter(|t| !t.unwanted && !t.refused));
+    measured.reached = facts
         .aims
         .iter()
-        .map(|aim| reach(aim, &jobs, &facts, &aims))
+        .map(|aim| evaluate(aim, &jobs, &facts, &measured))
         .collect();
-    aims
+    measured
 }
 
-fn find<'a>(jobs: &'a mut BTreeMap<String, Tracked>, task: &str) -> Option<(&'a mut Tracked, u32)> {
+fn find_task<'a>(
+    jobs: &'a mut BTreeMap<String, TrackedJob>,
+    task: &str,
+) -> Option<(&'a mut TrackedJob, u32)> {
     let n = task.split_once('/')?.1.parse().ok()?;
     Some((jobs.get_mut(job_of(task))?, n))
 }
 
-/// Times of a job that waited for others count from when the last of them was done; one
-/// that could never start counts as nobody's.
-fn wait_counts_from_ready(jobs: &mut BTreeMap<String, Tracked>) {
+/// Counts the times of a job that needs others from when the last of them was done. A job that
+/// could never start because one of them was not done counts as unwanted.
+fn set_ready_times(jobs: &mut BTreeMap<String, TrackedJob>) {
     let done = |id: &String| jobs.get(id)?.last_done();
     let ready: Vec<(String, Option<u64>)> = jobs
         .iter()
         .filter(|(_, t)| !t.job.needs.is_empty())
         .map(|(id, t)| {
             let ends: Option<Vec<u64>> = t.job.needs.iter().map(done).collect();
-            let last = ends.map(|e| e.into_iter().fold(t.at, u64::max));
+            let last = ends.map(|e| e.into_iter().fold(t.ready_ms, u64::max));
             (id.clone(), last)
         })
         .collect();
     for (id, at) in ready {
         if let Some(t) = jobs.get_mut(&id) {
             t.unwanted |= at.is_none();
-            t.at = at.unwrap_or(t.at);
+            t.ready_ms = at.unwrap_or(t.ready_ms);
         }
     }
 }
 
-/// Does the job fit its team's guarantee together with the team's earlier
-/// unfinished jobs?
-fn fits_guarantee(facts: &Facts, jobs: &BTreeMap<String, Tracked>, job: &Job) -> bool {
+/// Whether the job fits the guarantee of its team together with the earlier unfinished jobs of
+/// the team.
+fn fits_guarantee(facts: &Facts, jobs: &BTreeMap<String, TrackedJob>, job: &Job) -> bool {
     let Some(team) = facts.teams.iter().find(|t| t.name == job.team) else {
         return false;
     };
-    let left = |t: &Tracked| {
+    let left = |t: &TrackedJob| {
         let over = t.unwanted || t.refused;
         f64::from(
             t.job.tasks
@@ -282,16 +292,16 @@
     before + f64::from(job.tasks) * job.cpus <= team.cpus
 }
 
-/// Jobs that count for their class.
+/// Returns the jobs that count for the class: neither unwanted nor refused.
 fn counted<'a>(
-    jobs: &'a BTreeMap<String, Tracked>,
+    jobs: &'a BTreeMap<String, TrackedJob>,
     class: &'a str,
-) -> impl Iterator<Item = &'a Tracked> {
-    let of = move |t: &&Tracked| t.job.class == class && !t.unwanted && !t.refused;
+) -> impl Iterator<Item = &'a TrackedJob> {
+    let of = move |t: &&TrackedJob| t.job.class == class && !t.unwanted && !t.refused;
     jobs.values().filter(of)
 }
 
-fn classes(jobs: &BTreeMap<String, Tracked>) -> BTreeMap<String, ClassFigures> {
+fn classes(jobs: &BTreeMap<String, TrackedJob>) -> BTreeMap<String, ClassFigures> {
     let mut names: Vec<&str> = jobs.values().map(|t| t.job.class.as_str()).collect();
     names.sort_unstable();
     names.dedup();
@@ -299,14 +309,17 @@
     names.into_iter().map(|n| (n.to_string(), of(n))).collect()
 }
 
-fn figures<'a>(jobs: impl Iterator<Item = &'a Tracked>) -> ClassFigures {
+fn figures<'a>(jobs: impl Iterator<Item = &'a TrackedJob>) -> ClassFigures {
     let (mut done, mut waits, mut all) = (Vec::new(), Vec::new(), 0);
     for t in jobs {
         all += 1;
         if let Some(at) = t.last_done() {
-            done.push((at - t.at) as f64 / 1000.0);
+            done.push((at - t.ready_ms) as f64 / 1000.0);
         }
-        let wait = t.started.values().map(|at| (at - t.at) as f64 / 1000.0);
+        let wait = t
+            .started
+            .values()
+            .map(|at| (at - t.ready_ms) as f64 / 1000.0);
         waits.extend(wait);
     }
     done.sort_by(f64::total_cmp);
@@ -321,18 +334,23 @@
     }
 }
 
-fn reach(aim: &Aim, jobs: &BTreeMap<String, Tracked>, facts: &Facts, sums: &Aims) -> Reached {
+fn evaluate(
+    aim: &Aim,
+    jobs: &BTreeMap<String, TrackedJob>,
+    facts: &Facts,
+    sums: &Measurements,
+) -> ObjectiveResult {
     let ms = |s: f64| (s * 1000.0) as u64;
-    // Of an array, only as many tasks as its team's limit allows at once.
-    let counts = |t: &Tracked| {
+    // Of each job, only as many tasks count as the limit of its team allows at once.
+    let counts = |t: &TrackedJob| {
         let limit = facts.teams.iter().find(|x| x.name == t.job.team);
         let limit = limit.map(|x| x.cpus_max).filter(|most| *most > 0.0);
         let limit = limit.unwrap_or(f64::INFINITY);
         let at_once = (limit / t.job.cpus.max(0.001)).floor();
         f64::from(t.job.tasks).min(at_once) as usize
     };
-    let in_time = |t: &Tracked, within: u64| {
-        let hits = t.started.values().filter(|at| **at - t.at <= within);
+    let in_time = |t: &TrackedJob, within: u64| {
+        let hits = t.started.values().filter(|at| **at - t.ready_ms <= within);
         hits.count().min(counts(t))
     };
     let (got, of) = match aim {
@@ -349,10 +367,10 @@
             class, within_s, ..
         } => {
             let of = counted(jobs, class).count();
-            // Done means that the user hears so as well.
-            let hit = |t: &&Tracked| {
+            // A job counts as done only if its user was told so as well.
+            let hit = |t: &&TrackedJob| {
                 let last = t.last_done();
-                last.is_some_and(|at| at - t.at <= ms(*within_s)) && t.told_done.is_some()
+                last.is_some_and(|at| at - t.ready_ms <= ms(*within_s)) && t.reported_done.is_some()
             };
             (share(counted(jobs, class).filter(hit).count(), of), of)
         }
@@ -367,7 +385,7 @@
         }
         Aim::Submit { within_s, .. } => {
             let all = || jobs.values().filter(|t| !t.refused);
-            let hit = |t: &&Tracked| {
+            let hit = |t: &&TrackedJob| {
                 t.accepted
                     .is_some_and(|at| at - t.submitted <= ms(*within_s))
             };
@@ -394,7 +412,7 @@
         | Aim::Useful { share } => got >= *share,
         Aim::Price { most } => got <= *most,
     };
-    Reached {
+    ObjectiveResult {
         aim: aim.clone(),
         got,
         met,
--- a/crates/checker/src/starved.rs
+++ b/crates/checker/src/starvation.rs
@@ -1,54 +1,57 @@
-//! Who starves: a class or a team of which less than the scenario asks was done in time,
-//! although what the others got beyond that would have been enough.
+//! Finds starvation: a class or a team with a smaller share of jobs done in time than the
+//! scenario asks for, although the excess that other groups got would have been enough.
 
-use crate::breach::{Breach, Rule};
+use crate::feasibility;
 use crate::history::{Event, Facts, Job, MachineType, Off, What, job_of};
-use crate::possible;
+use crate::violation::{Rule, Violation};
 use cherrywood_scenario::deployment::Served;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
-struct Seen {
+struct TrackedJob {
     job: Job,
-    at: u64,
-    /// Nobody waits for it: its user wants it cancelled, or it was refused for good.
-    void: bool,
-    /// It can never run: wanted by nobody, also if its user gave up before it was refused.
-    impossible: bool,
+    submitted_ms: u64,
+    /// Whether no user waits for the job: it runs until cancelled, was refused for good, or its
+    /// user wants it cancelled.
+    excluded: bool,
+    /// Whether the job can never run. It does not count unless it was accepted, also if its
+    /// user gave up before it was refused.
+    infeasible: bool,
     done: BTreeSet<String>,
-    done_at: Option<u64>,
+    done_ms: Option<u64>,
     accepted: bool,
-    began: Option<u64>,
+    started_ms: Option<u64>,
 }
 
+/// Tracks which jobs are done, and finds starved classes and teams.
 #[derive(Debug, Default)]
-pub struct Starved {
-    asked: Option<Served>,
-    /// What can run at all.
+pub struct Starvation {
+    target: Option<Served>,
+    /// Facts that determine which jobs can run at all.
     facts: Option<Facts>,
-    jobs: BTreeMap<String, Seen>,
-    /// Run time that was of use, CPU seconds, and tasks done, by class.
+    jobs: BTreeMap<String, TrackedJob>,
+    /// Useful run time in CPU seconds, and number of tasks done, by class.
     useful: BTreeMap<String, (f64, u32)>,
     kinds: Vec<MachineType>,
-    /// CPUs of each machine, when it was up and when it was gone.
+    /// CPUs of each machine, and the times at which it was up and was gone.
     machines: BTreeMap<String, (f64, Option<u64>, Option<u64>)>,
 }
 
-/// The least served class or team, and what could have been.
+/// The least served class or team, and the share that would have been possible.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Least {
-    /// Share of its jobs done in time.
+pub struct LeastServed {
+    /// Share of the jobs of the group done in time.
     pub share: f64,
-    /// The class, its largest tenth, or the team.
+    /// Name of the group: a class, its largest tenth, or a team.
     pub name: String,
-    /// s until the last accepted job of the largest tenths of all classes began.
+    /// Longest time until an accepted job of the largest tenths of all classes started, in s.
     pub longest_start_s: f64,
-    /// The share that every class could have had on the machines that were up, had all
-    /// sizes been known and had no CPU ever waited or fetched.
+    /// Upper bound: the share that every class could have had on the machines that were up, if
+    /// all sizes had been known and no CPU had ever been idle or waited for an image fetch.
     pub bound: f64,
 }
 
-/// Jobs that are counted together.
+/// A group of jobs that are counted together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Members<'a> {
     Class(&'a str),
@@ -56,7 +59,7 @@
     Team(&'a str),
 }
 
-/// How many jobs were wanted, and how many of them were done.
+/// Number of jobs that were wanted, and of those that were served.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Share {
     pub wanted: usize,
@@ -64,7 +67,7 @@
 }
 
 impl Share {
-    /// The share that was done; all of none.
+    /// Returns the served share; 1 if no job was wanted.
     pub fn value(self) -> f64 {
         if self.wanted == 0 {
             return 1.0;
@@ -73,14 +76,15 @@
     }
 }
 
-/// One class or team at the end.
+/// Counts of one class, largest tenth or team.
 #[derive(Debug, Default)]
 struct Group {
     wanted: usize,
     served: usize,
     first_ms: Option<u64>,
-    /// Expected CPU seconds of the jobs that were served, and of those that weren't.
+    /// Sum of the estimated CPU seconds of the jobs that were served.
     got: f64,
+    /// Estimated CPU seconds of each job that was not served.
     missing: Vec<f64>,
 }
 
@@ -90,23 +94,23 @@
     }
 }
 
-impl Seen {
-    /// Does anybody wait for it? What was accepted counts, whether it can run or not.
-    fn wanted(&self) -> bool {
-        !self.void && (self.accepted || !self.impossible)
+impl TrackedJob {
+    /// Whether a user waits for the job. An accepted job counts, whether it can run or not.
+    fn is_wanted(&self) -> bool {
+        !self.excluded && (self.accepted || !self.infeasible)
     }
 }
 
-impl Starved {
-    fn can_never_run(&self, job: &Job) -> bool {
+impl Starvation {
+    fn is_infeasible(&self, job: &Job) -> bool {
         let facts = self.facts.as_ref();
-        facts.is_some_and(|facts| possible::impossible(facts, job).is_some())
+        facts.is_some_and(|facts| feasibility::infeasibility(facts, job).is_some())
     }
 
     pub fn feed(&mut self, event: &Event) {
         match &event.what {
             What::Begins { facts, .. } => {
-                self.asked = facts.served;
+                self.target = facts.served;
                 self.kinds.clone_from(&facts.kinds);
                 self.facts = Some(facts.clone());
             }
@@ -126,15 +130,15 @@
                 }
             }
             What::Submitted { job } => {
-                let seen = Seen {
+                let seen = TrackedJob {
                     job: job.clone(),
-                    at: event.at_ms,
-                    void: job.standing,
-                    impossible: self.can_never_run(job),
+                    submitted_ms: event.at_ms,
+                    excluded: job.standing,
+                    infeasible: self.is_infeasible(job),
                     done: BTreeSet::new(),
-                    done_at: None,
+                    done_ms: None,
                     accepted: false,
-                    began: None,
+                    started_ms: None,
                 };
                 self.jobs.entry(job.id.clone()).or_insert(seen);
             }
@@ -149,7 +153,7 @@
             }
             What::On { task, .. } => {
                 if let Some(s) = self.jobs.get_mut(job_of(task)) {
-                    s.began.get_or_insert(event.at_ms);
+                    s.started_ms.get_or_insert(event.at_ms);
                 }
             }
             What::Told {
@@ -159,7 +163,7 @@
             }
             | What::Unwanted { job } => {
                 if let Some(s) = self.jobs.get_mut(job) {
-                    s.void = true;
+                    s.excluded = true;
                 }
             }
             What::Off {
@@ -173,7 +177,7 @@
                 if *why == Off::Done && s.done.insert(task.clone()) {
                     useful.1 += 1;
                     if s.done.len() as u32 >= s.job.tasks {
-                        s.done_at = Some(event.at_ms);
+                        s.done_ms = Some(event.at_ms);
                     }
                 }
             }
@@ -181,8 +185,9 @@
         }
     }
 
-    /// What a job takes, by what the tasks of its class took.
-    fn work(&self, job: &Job) -> f64 {
+    /// Returns the estimated CPU seconds of a job, from the useful run time per done task of its
+    /// class, or of all classes if no task of its class is done.
+    fn estimated_work(&self, job: &Job) -> f64 {
         let (useful, tasks) = self.useful.get(&job.class).copied().unwrap_or_default();
         let all = self
             .useful
@@ -192,17 +197,18 @@
         useful / f64::from(tasks.max(1)) * f64::from(job.tasks)
     }
 
-    /// When the last job that it needs was done, or it was submitted.
-    fn ready_at(&self, s: &Seen) -> Option<u64> {
-        let done = |id: &String| self.jobs.get(id)?.done_at;
+    /// Returns when the job was submitted or the last job that it needs was done, whichever is
+    /// later; `None` if one that it needs is not done.
+    fn ready_ms(&self, s: &TrackedJob) -> Option<u64> {
+        let done = |id: &String| self.jobs.get(id)?.done_ms;
         let ends: Option<Vec<u64>> = s.job.needs.iter().map(done).collect();
-        Some(ends?.into_iter().fold(s.at, u64::max))
+        Some(ends?.into_iter().fold(s.submitted_ms, u64::max))
     }
 
-    /// The largest tenth of each class, by their work, if the scenario asks for their
-    /// beginning; all of a class of fewer than ten jobs is no tenth.
+    /// Returns the largest tenth of each class, by estimated work, if the scenario limits the
+    /// time until they start; none of a class of fewer than ten jobs.
     fn largest(&self) -> BTreeSet<&str> {
-        match self.asked {
+        match self.target {
             Some(Served {
                 begin_s: Some(_), ..
             }) => self.largest_tenths(),
@@ -210,12 +216,12 @@
         }
     }
 
-    /// The largest tenth of each class, by their work.
+    /// Returns the largest tenth of each class, by estimated work.
     fn largest_tenths(&self) -> BTreeSet<&str> {
         let mut classes: BTreeMap<&str, Vec<(f64, &str)>> = BTreeMap::new();
-        for s in self.jobs.values().filter(|s| s.wanted()) {
+        for s in self.jobs.values().filter(|s| s.is_wanted()) {
             let of = classes.entry(&s.job.class).or_default();
-            of.push((self.work(&s.job), &s.job.id));
+            of.push((self.estimated_work(&s.job), &s.job.id));
         }
         let mut largest = BTreeSet::new();
         for of in classes.values_mut() {
@@ -225,13 +231,14 @@
         largest
     }
 
-    /// ms until the last accepted job of the largest tenths began, since it was ready, with
-    /// its id; for one that never did, until now.
+    /// Returns the longest time from when an accepted job of the largest tenths was ready to its
+    /// start, in ms, or until now for one that has not started, with its id.
     pub fn longest_start(&self, at: u64) -> Option<(u64, &str)> {
         self.longest_start_of(&self.largest(), at)
     }
 
-    /// The same, whether or not the scenario asks for it.
+    /// Like [`Self::longest_start`], whether or not the scenario limits the time until the
+    /// largest jobs start.
     pub(crate) fn longest_start_of_tenths(&self, at: u64) -> Option<(u64, &str)> {
         self.longest_start_of(&self.largest_tenths(), at)
     }
@@ -242,27 +249,28 @@
             .values()
             .filter(|s| s.accepted && largest.contains(s.job.id.as_str()));
         let waits = of.filter_map(|s| {
-            let from = self.ready_at(s)?;
+            let from = self.ready_ms(s)?;
             Some((
-                s.began.unwrap_or(at).saturating_sub(from),
+                s.started_ms.unwrap_or(at).saturating_sub(from),
                 s.job.id.as_str(),
             ))
         });
         waits.max()
     }
 
-    /// Every class, its largest tenth, and every team, with the jobs whose time was over.
+    /// Returns every class, its largest tenth, and every team, with the jobs that were served or
+    /// whose time was over.
     fn groups(&self, within_ms: u64, at: u64) -> BTreeMap<(&str, &str), Group> {
         let mut groups: BTreeMap<(&str, &str), Group> = BTreeMap::new();
         let largest = self.largest();
-        for s in self.jobs.values().filter(|s| s.wanted()) {
-            // One that waits for others counts from when they are done.
-            let Some(from) = self.ready_at(s) else {
+        for s in self.jobs.values().filter(|s| s.is_wanted()) {
+            // A job that needs others counts from when they are done.
+            let Some(from) = self.ready_ms(s) else {
                 continue;
             };
             let class = s.job.class.as_str();
-            // The largest may begin later than others, and have as much longer to be done.
-            let begin_s = self.asked.and_then(|a| a.begin_s).unwrap_or(0.0);
+            // The largest may start later than others, and have as much more time to be done.
+            let begin_s = self.target.and_then(|a| a.begin_s).unwrap_or(0.0);
             let longer_ms = within_ms + (begin_s * 1000.0) as u64;
             let tenth = largest.contains(s.job.id.as_str());
             let tenth = tenth.then_some(("the largest tenth of", class, longer_ms));
@@ -271,32 +279,32 @@
                 ("team", &s.job.team, within_ms),
             ];
             for (what, name, within_ms) in all.into_iter().chain(tenth) {
-                let served = s.done_at.is_some_and(|d| d - from <= within_ms);
-                // Too late in the scenario for its time to be over.
+                let served = s.done_ms.is_some_and(|d| d - from <= within_ms);
+                // The time for this job is not over yet.
                 if !served && at < from + within_ms {
                     continue;
                 }
                 let g = groups.entry((what, name)).or_default();
                 g.wanted += 1;
-                g.first_ms.get_or_insert(s.at);
+                g.first_ms.get_or_insert(s.submitted_ms);
                 if served {
                     g.served += 1;
-                    g.got += self.work(&s.job);
+                    g.got += self.estimated_work(&s.job);
                 } else {
-                    g.missing.push(self.work(&s.job));
+                    g.missing.push(self.estimated_work(&s.job));
                 }
             }
         }
         groups
     }
 
-    /// How many jobs of every class, its largest tenth and every team were wanted and could
-    /// run, and how many of them were done by the end.
+    /// Returns, for every class, its largest tenth and every team, how many jobs were wanted and
+    /// could run, and how many of them were done by the end.
     pub(crate) fn shares(&self) -> BTreeMap<Members<'_>, Share> {
         let largest = self.largest_tenths();
         let mut shares: BTreeMap<Members<'_>, Share> = BTreeMap::new();
-        let wanted = self.jobs.values().filter(|s| s.wanted());
-        for seen in wanted.filter(|s| self.ready_at(s).is_some()) {
+        let wanted = self.jobs.values().filter(|s| s.is_wanted());
+        for seen in wanted.filter(|s| self.ready_ms(s).is_some()) {
             let job = &seen.job;
             let tenth = largest.contains(job.id.as_str());
             let tenth = tenth.then_some(Members::LargestOf(&job.class));
@@ -304,49 +312,54 @@
             for members in all.into_iter().chain(tenth) {
                 let share = shares.entry(members).or_default();
                 share.wanted += 1;
-                share.served += usize::from(seen.done_at.is_some());
+                share.served += usize::from(seen.done_ms.is_some());
             }
         }
         shares
     }
 
-    /// Every submitted job.
+    /// Returns every submitted job.
     pub(crate) fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().map(|seen| &seen.job)
     }
 
-    /// The least served, if the scenario says in what time.
-    pub fn least(&self, at: u64) -> Option<Least> {
-        let within_ms = (self.asked?.within_s * 1000.0) as u64;
+    /// Returns the least served group, if the scenario asks for a served share.
+    pub fn least(&self, at: u64) -> Option<LeastServed> {
+        let within_ms = (self.target?.within_s * 1000.0) as u64;
         let groups = self.groups(within_ms, at);
         let least = groups
             .iter()
             .min_by(|a, b| a.1.share().total_cmp(&b.1.share()));
         let ((what, name), group) = least?;
         let longest = self.longest_start(at);
-        let open = self.jobs.values().filter(|s| s.wanted());
-        let last = open.clone().map(|s| s.at + within_ms).max().unwrap_or(0);
+        let open = self.jobs.values().filter(|s| s.is_wanted());
+        let last = open
+            .clone()
+            .map(|s| s.submitted_ms + within_ms)
+            .max()
+            .unwrap_or(0);
         let up = |m: &(f64, Option<u64>, Option<u64>)| {
             let (from, to) = (m.1.unwrap_or(last), m.2.unwrap_or(last).min(last));
             m.0 * to.saturating_sub(from) as f64 / 1000.0
         };
-        let can: f64 = self.machines.values().map(up).sum();
+        let available: f64 = self.machines.values().map(up).sum();
         let mut classes: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for s in open {
             let sizes = classes.entry(&s.job.class).or_default();
-            sizes.push(self.work(&s.job));
+            sizes.push(self.estimated_work(&s.job));
         }
         classes.values_mut().for_each(|c| c.sort_by(f64::total_cmp));
-        // The largest share whose smallest jobs fit, to a thousandth.
-        let takes = |thousandth: u32| -> f64 {
+        // The bound is the largest share, to a thousandth, for which the smallest jobs of every
+        // class together fit the CPU time of the machines.
+        let required = |thousandth: u32| -> f64 {
             let of = |c: &Vec<f64>| {
                 let n = (c.len() as f64 * f64::from(thousandth) / 1000.0).ceil() as usize;
                 c[..n.min(c.len())].iter().sum::<f64>()
             };
             classes.values().map(of).sum()
         };
-        let fits = (0..=1000).rev().find(|s| takes(*s) <= can);
-        Some(Least {
+        let fits = (0..=1000).rev().find(|s| required(*s) <= available);
+        Some(LeastServed {
             share: group.share(),
             name: match *what {
                 "class" | "team" => (*name).to_string(),
@@ -357,39 +370,41 @@
         })
     }
 
-    /// At the end of the scenario.
-    pub fn ends(&self, at: u64) -> Vec<Breach> {
-        let Some(asked) = self.asked else {
+    /// Returns the violations at the end of the scenario.
+    pub fn violations(&self, at: u64) -> Vec<Violation> {
+        let Some(target) = self.target else {
             return Vec::new();
         };
-        let groups = self.groups((asked.within_s * 1000.0) as u64, at);
-        let mut breaches = Vec::new();
-        if let (Some(begin_s), Some((ms, id))) = (asked.begin_s, self.longest_start(at))
+        let groups = self.groups((target.within_s * 1000.0) as u64, at);
+        let mut violations = Vec::new();
+        if let (Some(begin_s), Some((ms, id))) = (target.begin_s, self.longest_start(at))
             && ms as f64 > begin_s * 1000.0
         {
-            breaches.push(Breach {
+            violations.push(Violation {
                 rule: Rule::Starved,
                 what: format!("job {id}"),
                 place: "all machines".into(),
                 since_ms: at.saturating_sub(ms),
                 at_ms: at,
-                why: format!("of the largest of its class, not begun within {begin_s} s, since"),
+                why: format!(
+                    "among the largest of its class, not started within {begin_s} s, since"
+                ),
             });
         }
         for ((what, name), g) in &groups {
-            if g.share() >= asked.share {
+            if g.share() >= target.share {
                 continue;
             }
-            let lacks = (asked.share * g.wanted as f64).ceil() as usize - g.served;
+            let lacks = (target.share * g.wanted as f64).ceil() as usize - g.served;
             let mut missing = g.missing.clone();
             missing.sort_by(f64::total_cmp);
             let needs: f64 = missing.iter().take(lacks).sum();
-            // What the others of its kind got beyond what was asked for them.
+            // What the other groups of its kind got beyond the share asked for.
             let others = groups.iter().filter(|(k, _)| k.0 == *what && k.1 != *name);
-            let spare = |g: &Group| g.got * (1.0 - asked.share / g.share().max(asked.share));
+            let spare = |g: &Group| g.got * (1.0 - target.share / g.share().max(target.share));
             let spare: f64 = others.map(|(_, g)| spare(g)).sum();
             if spare >= needs {
-                breaches.push(Breach {
+                violations.push(Violation {
                     rule: Rule::Starved,
                     what: format!("{what} {name}"),
                     place: "all machines".into(),
@@ -397,12 +412,12 @@
                     at_ms: at,
                     why: format!(
                         "{} of {} jobs done within {} s, {:.0} CPU s short while others had \
-                         {spare:.0} beyond their part, since",
-                        g.served, g.wanted, asked.within_s, needs
+                         {spare:.0} beyond their part; first submitted",
+                        g.served, g.wanted, target.within_s, needs
                     ),
                 });
             }
         }
-        breaches
+        violations
     }
 }
--- a/crates/checker/src/waiting.rs
+++ b/crates/checker/src/waiting.rs
@@ -1,22 +1,22 @@
-//! Jobs that are left waiting: a machine that fits has had room, and the team has been under
-//! its limit by a task's size, for all the time in which no task of the job was started.
+//! Finds jobs that are left waiting: a suitable machine has had capacity, and the team has been
+//! under its limit by the size of a task, for all the time in which no task of the job started.
 
-use crate::breach::{Breach, Rule};
-use crate::calm::Calm;
+use crate::capacity::{FreeCapacity, Size};
 use crate::history::{Event, Job, Off, State, What, job_of};
-use crate::room::{Rooms, Size};
+use crate::quiet_periods::QuietPeriods;
+use crate::violation::{Rule, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// ms that a job may wait beside room.
+/// Time from which a wait although there is capacity is too long, in ms.
 pub const LEFT_WAITING_MS: u64 = 90_000;
-/// ms between two looks at all jobs that wait.
-const LOOK_MS: u64 = 2_000;
+/// Time between two scans of all waiting jobs, in ms.
+const SCAN_INTERVAL_MS: u64 = 2_000;
 
-/// A wait beside room.
+/// A wait of a job although there was capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wait {
     pub job: String,
-    /// The machine that had room longest.
+    /// The machine that had capacity longest.
     pub machine: String,
     pub since_ms: u64,
     pub until_ms: u64,
@@ -29,59 +29,61 @@
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenJob {
     job: Job,
     size: Size,
-    /// The number of its size.
+    /// The number of its size in `capacity`.
     number: usize,
     accepted: bool,
-    /// Its user wants it: it was neither called off nor told cancelled.
+    /// Whether the user still wants the job: no cancellation was requested or reported.
     wanted: bool,
-    /// Since when it waits without a start; reset by each.
+    /// Time since which the job waits without a start, in ms; reset by each start.
     since_ms: u64,
-    /// Tasks taken by machines, with the machine.
+    /// Tasks accepted by machines, with the machine.
     placed: BTreeMap<String, String>,
     done: BTreeSet<String>,
 }
 
-/// What a job asks of machines: number of its size, types, zone, and whether spot will do.
-type Needs<'a> = (usize, &'a Option<Vec<String>>, &'a Option<String>, bool);
-/// Of one look at all jobs: the machine that has had room longest for each need, and since when.
-type Machines<'a> = BTreeMap<Needs<'a>, Option<(u64, &'a str)>>;
+/// Requirements of a job on a machine: number of its size, machine types, zone, and whether
+/// spot machines are allowed.
+type Requirements<'a> = (usize, &'a Option<Vec<String>>, &'a Option<String>, bool);
+/// Cache of one scan: for each set of requirements, the machine that has had capacity longest,
+/// and since when.
+type ScanCache<'a> = BTreeMap<Requirements<'a>, Option<(u64, &'a str)>>;
 
-/// Watches all accepted jobs.
+/// Tracks the waits of all accepted jobs.
 #[derive(Debug, Default)]
 pub struct Waiting {
-    rooms: Rooms,
-    open: BTreeMap<String, Open>,
+    capacity: FreeCapacity,
+    open: BTreeMap<String, OpenJob>,
     /// Jobs of which all tasks are done.
     finished: BTreeSet<String>,
-    /// Jobs with tasks that failed: they are tried again ever more seldom.
+    /// Jobs with failed tasks, which are retried with growing delays: their waits do not count.
     failing: BTreeSet<String>,
-    calm: Calm,
-    looked_ms: u64,
-    /// The longest wait of each job since the last trouble.
-    now: BTreeMap<String, Wait>,
-    /// The longest wait of each job in earlier times without trouble.
-    before: BTreeMap<String, Wait>,
+    quiet_periods: QuietPeriods,
+    scanned_ms: u64,
+    /// The longest wait of each job since the last fault.
+    current: BTreeMap<String, Wait>,
+    /// The longest wait of each job in earlier quiet periods.
+    earlier: BTreeMap<String, Wait>,
 }
 
 impl Waiting {
     pub fn feed(&mut self, event: &Event) {
         let at_ms = event.at_ms;
-        if at_ms >= self.looked_ms + LOOK_MS || event.what == What::Ends {
-            self.look(at_ms);
+        if at_ms >= self.scanned_ms + SCAN_INTERVAL_MS || event.what == What::Ends {
+            self.scan(at_ms);
         }
-        if self.calm.feed(event) {
-            self.trouble_begins();
+        if self.quiet_periods.feed(event) {
+            self.end_quiet_period();
         }
         match &event.what {
-            What::Begins { facts, .. } => self.rooms.begin(facts),
+            What::Begins { facts, .. } => self.capacity.configure(facts),
             What::Submitted { job } => self.submitted(job, at_ms),
             What::Told {
                 job, status, state, ..
-            } => self.told(job, *status, *state, at_ms),
-            // What nobody wants any more may wait for ever.
+            } => self.response(job, *status, *state, at_ms),
+            // A job that its user no longer wants may wait indefinitely.
             What::Unwanted { job } => {
                 if let Some(open) = self.open.get_mut(job) {
                     open.wanted = false;
@@ -93,18 +95,18 @@
                 zone,
                 spot,
                 ..
-            } => self.rooms.rented(machine, kind, zone, *spot),
-            What::Up { machine } => self.rooms.up(machine, at_ms),
-            What::Notice { machine } => self.rooms.avoid(machine),
-            What::LeaseEnds { machine } => self.empties(machine, at_ms),
+            } => self.capacity.rented(machine, kind, zone, *spot),
+            What::Up { machine } => self.capacity.up(machine, at_ms),
+            What::Notice { machine } => self.capacity.avoid(machine),
+            What::LeaseEnds { machine } => self.release_all(machine, at_ms),
             What::Gone { machine, .. } => {
-                self.empties(machine, at_ms);
-                self.rooms.gone(machine);
+                self.release_all(machine, at_ms);
+                self.capacity.gone(machine);
             }
             What::Starts { machine, task, .. } | What::On { machine, task, .. } => {
-                self.taken(machine, task, at_ms);
+                self.start_accepted(machine, task, at_ms);
             }
-            What::Dropped { machine, task, .. } => self.given(machine, task, at_ms),
+            What::Dropped { machine, task, .. } => self.released(machine, task, at_ms),
             What::Off {
                 machine, task, why, ..
             } => self.off(machine, task, *why, at_ms),
@@ -114,10 +116,10 @@
 
     fn submitted(&mut self, job: &Job, at_ms: u64) {
         let size = Size::of(job);
-        let open = Open {
+        let open = OpenJob {
             job: job.clone(),
             size,
-            number: self.rooms.number(size, at_ms),
+            number: self.capacity.size_number(size, at_ms),
             accepted: false,
             wanted: true,
             since_ms: at_ms,
@@ -127,7 +129,7 @@
         self.open.entry(job.id.clone()).or_insert(open);
     }
 
-    fn told(&mut self, job: &str, status: u16, state: Option<State>, at_ms: u64) {
+    fn response(&mut self, job: &str, status: u16, state: Option<State>, at_ms: u64) {
         let Some(open) = self.open.get_mut(job) else {
             return;
         };
@@ -139,7 +141,7 @@
         }
     }
 
-    fn taken(&mut self, machine: &str, task: &str, at_ms: u64) {
+    fn start_accepted(&mut self, machine: &str, task: &str, at_ms: u64) {
         let Some(open) = self.open.get_mut(job_of(task)) else {
             return;
         };
@@ -147,30 +149,30 @@
         let before = open.placed.insert(task.to_string(), machine.to_string());
         if before.is_none() {
             let team = open.job.team.clone();
-            self.rooms.use_limit(&team, open.size, 1.0, at_ms);
+            self.capacity.add_team_usage(&team, open.size, 1.0, at_ms);
         }
-        self.rooms.take(machine, task, open.size, at_ms);
+        self.capacity.allocate(machine, task, open.size, at_ms);
     }
 
-    fn given(&mut self, machine: &str, task: &str, at_ms: u64) {
-        self.rooms.give(machine, task, at_ms);
+    fn released(&mut self, machine: &str, task: &str, at_ms: u64) {
+        self.capacity.release(machine, task, at_ms);
         let Some(open) = self.open.get_mut(job_of(task)) else {
             return;
         };
         if open.placed.get(task).is_some_and(|m| m == machine) {
             open.placed.remove(task);
-            // A task that lost its place waits from now on.
+            // A task that lost its placement waits from now on.
             open.since_ms = at_ms;
             let team = open.job.team.clone();
-            self.rooms.use_limit(&team, open.size, -1.0, at_ms);
+            self.capacity.add_team_usage(&team, open.size, -1.0, at_ms);
         }
     }
 
     fn off(&mut self, machine: &str, task: &str, why: Off, at_ms: u64) {
-        self.given(machine, task, at_ms);
+        self.released(machine, task, at_ms);
         let id = job_of(task);
         if why == Off::Error {
-            self.rooms.avoid(machine);
+            self.capacity.avoid(machine);
             self.failing.insert(id.to_string());
         }
         if why != Off::Done {
@@ -185,50 +187,50 @@
         }
     }
 
-    /// All tasks of a machine end at once.
-    fn empties(&mut self, machine: &str, at_ms: u64) {
-        for task in self.rooms.tasks(machine) {
-            self.given(machine, &task, at_ms);
+    /// Releases all tasks of a machine.
+    fn release_all(&mut self, machine: &str, at_ms: u64) {
+        for task in self.capacity.tasks(machine) {
+            self.released(machine, &task, at_ms);
         }
     }
 
-    /// What was seen until now is of an earlier time without trouble.
-    fn trouble_begins(&mut self) {
-        for (job, wait) in std::mem::take(&mut self.now) {
-            keep_longer(&mut self.before, job, wait);
+    /// Moves the waits found until now to those of earlier quiet periods.
+    fn end_quiet_period(&mut self) {
+        for (job, wait) in std::mem::take(&mut self.current) {
+            keep_longer(&mut self.earlier, job, wait);
         }
     }
 
-    /// Measures the wait of each job beside room, as of now.
-    fn look(&mut self, at_ms: u64) {
-        self.looked_ms = at_ms;
-        let Some(calm_since_ms) = self.calm.since_ms() else {
+    /// Measures the wait of each job for which there is capacity, as of now.
+    fn scan(&mut self, at_ms: u64) {
+        self.scanned_ms = at_ms;
+        let Some(quiet_since_ms) = self.quiet_periods.quiet_since_ms() else {
             return;
         };
         let mut found = Vec::new();
-        let mut machines = Machines::new();
+        let mut cache = ScanCache::new();
         for (id, open) in &self.open {
-            if let Some((since_ms, machine)) = self.beside_room(open, &mut machines)
-                && at_ms > since_ms.max(calm_since_ms)
+            if let Some((since_ms, machine)) = self.waiting_since(open, &mut cache)
+                && at_ms > since_ms.max(quiet_since_ms)
             {
                 found.push(Wait {
                     job: id.clone(),
                     machine: machine.to_string(),
-                    since_ms: since_ms.max(calm_since_ms),
+                    since_ms: since_ms.max(quiet_since_ms),
                     until_ms: at_ms,
                 });
             }
         }
         for wait in found {
-            keep_longer(&mut self.now, wait.job.clone(), wait);
+            keep_longer(&mut self.current, wait.job.clone(), wait);
         }
     }
 
-    /// Since when the job has waited beside room, and on which machine.
-    fn beside_room<'a>(
+    /// Returns since when the job has waited although there was capacity, and on which machine.
+    fn waiting_since<'a>(
         &'a self,
-        open: &'a Open,
-        machines: &mut Machines<'a>,
+        open: &'a OpenJob,
+        cache: &mut ScanCache<'a>,
     ) -> Option<(u64, &'a str)> {
         let job = &open.job;
         let waiting = job.tasks as usize > open.done.len() + open.placed.len();
@@ -236,33 +238,34 @@
         if !open.accepted || !open.wanted || !waiting || !ready || self.failing.contains(&job.id) {
             return None;
         }
-        let team_ms = self.rooms.team_since_ms(&job.team, open.number)?;
+        let team_ms = self.capacity.team_free_since_ms(&job.team, open.number)?;
         let (only_zone, full_zones) = self.zones(open);
-        let look = || {
-            let rooms = &self.rooms;
-            rooms.machine_since_ms(job, open.number, &full_zones, only_zone)
+        let search = || {
+            let capacity = &self.capacity;
+            capacity.machine_free_since_ms(job, open.number, &full_zones, only_zone)
         };
-        let (room_ms, machine) = if only_zone.is_some() || !full_zones.is_empty() {
-            look()?
+        let (machine_ms, machine) = if only_zone.is_some() || !full_zones.is_empty() {
+            search()?
         } else {
-            let needs = (open.number, &job.kinds, &job.zone, job.spot);
-            (*machines.entry(needs).or_insert_with(look))?
+            let requirements = (open.number, &job.kinds, &job.zone, job.spot);
+            (*cache.entry(requirements).or_insert_with(search))?
         };
-        // When the last task of the last of them gave its place back.
+        // The time at which the last task of the last job that it needs ended.
         let ready_ms = job
             .needs
             .iter()
             .filter_map(|id| Some(self.open.get(id)?.since_ms));
-        let since_ms = open.since_ms.max(team_ms).max(room_ms);
+        let since_ms = open.since_ms.max(team_ms).max(machine_ms);
         Some((since_ms.max(ready_ms.max().unwrap_or(0)), machine))
     }
 
-    /// The only zone, and the zones that have all that they may, given where its tasks are.
-    fn zones(&self, open: &Open) -> (Option<&str>, BTreeSet<&str>) {
+    /// Returns the only zone that the job may use, if it is bound to one, and the zones that
+    /// already have as many of its tasks as allowed, given where its tasks are.
+    fn zones(&self, open: &OpenJob) -> (Option<&str>, BTreeSet<&str>) {
         let zones = || {
             open.placed
                 .values()
-                .filter_map(|name| self.rooms.zone(name))
+                .filter_map(|name| self.capacity.zone(name))
         };
         let only = zones().next().filter(|_| open.job.one_zone);
         let mut full = BTreeSet::new();
@@ -277,9 +280,10 @@
         (only, full)
     }
 
-    /// ms of the longest wait of a job beside room while no trouble ran.
+    /// Returns the longest wait of a job although there was capacity while no fault was active,
+    /// in ms.
     pub fn longest_ms(&self, job: &str) -> u64 {
-        let waits = [self.now.get(job), self.before.get(job)];
+        let waits = [self.current.get(job), self.earlier.get(job)];
         waits
             .into_iter()
             .flatten()
@@ -288,24 +292,30 @@
             .unwrap_or(0)
     }
 
-    /// Waits that were too long before the last trouble: told, but no breach.
+    /// Returns waits before the last fault that were too long; reported, but no violations.
     pub fn earlier(&self) -> Vec<Wait> {
         let too_long = |wait: &&Wait| wait.length_ms() >= LEFT_WAITING_MS;
-        self.before.values().filter(too_long).cloned().collect()
+        self.earlier.values().filter(too_long).cloned().collect()
     }
 
-    /// At the end: the jobs that were left waiting once all troubles were over.
-    pub fn breaches(&self) -> Vec<Breach> {
+    /// Returns a violation for each job left waiting once all faults were over; for use at the
+    /// end.
+    pub fn violations(&self) -> Vec<Violation> {
         let too_long = |wait: &&Wait| wait.length_ms() >= LEFT_WAITING_MS;
-        let breach = |wait: &Wait| Breach {
+        let violation = |wait: &Wait| Violation {
             rule: Rule::LeftWaiting,
             what: wait.job.clone(),
             place: wait.machine.clone(),
             since_ms: wait.since_ms,
             at_ms: wait.until_ms,
-            why: "left waiting, with room there and its team under its limit, since".into(),
+            why: "left waiting with capacity there and its team under its limit; the wait began"
+                .into(),
         };
-        self.now.values().filter(too_long).map(breach).collect()
+        self.current
+            .values()
+            .filter(too_long)
+            .map(violation)
+            .collect()
     }
 }
 
