--- a/crates/emulator/src/proc.rs
+++ b/crates/emulator/src/process.rs
@@ -1,8 +1,8 @@
-//! An emulated process: its own clocks and chance, tasks that can stand still
-//! and be killed, and a way to the network, which is the fabric or, in a
-//! simulation with real processes, loopback.
+//! An emulated process: its own clocks and random stream, tasks that can be suspended and
+//! killed, and access to the network, which is simulated or, in a simulation with real
+//! processes, loopback.
 
-use crate::fabric::{Fabric, lock};
+use crate::network::{Network, lock};
 use cherrywood_net::runtime::{BoxFuture, EmulatedRuntime, Listener, Runtime, Stream};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -23,25 +23,25 @@
     static CURRENT: RefCell<Option<Arc<str>>> = const { RefCell::new(None) };
 }
 
-/// The process whose task runs on this thread now; for logs.
+/// Returns the name of the process whose task runs on this thread now; for logs.
 pub fn current() -> Option<Arc<str>> {
     CURRENT.with_borrow(Clone::clone)
 }
 
-/// How its clocks go.
+/// Deviations of a process's clocks.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Clocks {
-    /// Share by which the steady clock runs fast.
+    /// Fraction by which the monotonic clock runs fast.
     pub drift: f64,
-    /// s that the steady clock shows when the process starts.
+    /// Reading of the monotonic clock when the process starts, s.
     pub offset_s: f64,
-    /// ms by which the time of day is off.
-    pub wall_off_ms: f64,
+    /// Error of the wall clock, ms.
+    pub wall_offset_ms: f64,
 }
 
 #[derive(Debug, Clone)]
-pub enum Medium {
-    Fabric(Arc<Fabric>),
+pub enum Transport {
+    Simulated(Arc<Network>),
     Loopback,
 }
 
@@ -49,7 +49,7 @@
 struct Tasks {
     frozen: bool,
     dead: bool,
-    /// ms by which every step of its tasks is late.
+    /// Delay of every step of the process's tasks, ms.
     lag_ms: f64,
     waiting: Vec<Waker>,
     handles: BTreeMap<u64, AbortHandle>,
@@ -57,40 +57,40 @@
 }
 
 /// Unix time at which every emulated scenario begins: 2026-01-01.
-const DAWN_MS: u64 = 1_767_225_600_000;
+const EPOCH_MS: u64 = 1_767_225_600_000;
 
-pub struct Proc {
+pub struct Process {
     pub name: Arc<str>,
     pub ip: IpAddr,
-    medium: Medium,
+    transport: Transport,
     clocks: Clocks,
     start: Instant,
     scenario: Instant,
     rng: Mutex<Pcg64>,
     tasks: Mutex<Tasks>,
-    me: Weak<Proc>,
+    me: Weak<Process>,
 }
 
-impl std::fmt::Debug for Proc {
+impl std::fmt::Debug for Process {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Proc({})", self.name)
+        write!(f, "Process({})", self.name)
     }
 }
 
-impl Proc {
+impl Process {
     /// `scenario` is the instant at which the scenario began.
     pub fn new(
         name: &str,
         ip: IpAddr,
-        medium: Medium,
+        transport: Transport,
         clocks: Clocks,
         scenario: Instant,
         seed: u64,
-    ) -> Arc<Proc> {
-        Arc::new_cyclic(|me| Proc {
+    ) -> Arc<Process> {
+        Arc::new_cyclic(|me| Process {
             name: name.into(),
             ip,
-            medium,
+            transport,
             clocks,
             start: Instant::now(),
             scenario,
@@ -102,10 +102,10 @@
 
     pub fn host(&self) -> Runtime {
         let me = self.me.upgrade();
-        Runtime::emulated(me.expect("a process outlives the call on it"))
+        Runtime::emulated(me.expect("host() is called through an Arc<Process> that is still alive"))
     }
 
-    /// All its tasks stand still; its clocks run on.
+    /// Suspends all tasks of the process; its clocks run on.
     pub fn freeze(&self) {
         lock(&self.tasks).frozen = true;
     }
@@ -121,7 +121,8 @@
         }
     }
 
-    /// It computes slower: every step comes so many ms late, give or take half.
+    /// Slows the process down: every step of its tasks is delayed by `ms`, plus or minus
+    /// half.
     pub fn set_lag(&self, ms: f64) {
         lock(&self.tasks).lag_ms = ms;
     }
@@ -134,7 +135,7 @@
         lock(&self.tasks).dead
     }
 
-    /// Ends all its tasks; what they hold is dropped.
+    /// Ends all tasks of the process and drops what they hold.
     pub fn kill(&self) {
         let handles = {
             let mut tasks = lock(&self.tasks);
@@ -148,14 +149,14 @@
         }
     }
 
-    /// Of this clock's seconds, how many true ones.
-    fn true_s(&self, s: f64) -> Duration {
-        // A timer of a year is as good as none, and can be added to any time.
+    /// Converts seconds of this process's clock to true seconds.
+    fn true_duration(&self, s: f64) -> Duration {
+        // The limit of about a year acts as no timer at all, and can be added to any time.
         Duration::from_secs_f64((s / (1.0 + self.clocks.drift)).clamp(0.0, 3.0e7))
     }
 }
 
-impl EmulatedRuntime for Proc {
+impl EmulatedRuntime for Process {
     fn now(&self) -> f64 {
         let s = self.start.elapsed().as_secs_f64();
         self.clocks.offset_s + s * (1.0 + self.clocks.drift)
@@ -163,7 +164,7 @@
 
     fn wall_ms(&self) -> u64 {
         let since = self.scenario.elapsed().as_millis() as u64;
-        DAWN_MS + (since as f64 + self.clocks.wall_off_ms).max(0.0) as u64
+        EPOCH_MS + (since as f64 + self.clocks.wall_offset_ms).max(0.0) as u64
     }
 
     fn random(&self) -> u64 {
@@ -171,7 +172,7 @@
     }
 
     fn sleep(&self, s: f64) -> BoxFuture<()> {
-        Box::pin(sleep(self.true_s(s)))
+        Box::pin(sleep(self.true_duration(s)))
     }
 
     fn spawn(&self, task: BoxFuture<()>) {
@@ -184,20 +185,20 @@
         }
         let id = tasks.next;
         tasks.next += 1;
-        let gate = Gate {
+        let gated = ProcessTask {
             proc,
             id,
             task,
             late: None,
         };
-        let handle = tokio::spawn(gate).abort_handle();
+        let handle = tokio::spawn(gated).abort_handle();
         tasks.handles.insert(id, handle);
     }
 
     fn connect(&self, to: SocketAddr) -> BoxFuture<io::Result<Stream>> {
-        match &self.medium {
-            Medium::Fabric(fabric) => Box::pin(fabric.clone().connect(self.ip, to)),
-            Medium::Loopback => Box::pin(async move {
+        match &self.transport {
+            Transport::Simulated(network) => Box::pin(network.clone().connect(self.ip, to)),
+            Transport::Loopback => Box::pin(async move {
                 let stream = TcpStream::connect(to).await?;
                 let _ = stream.set_nodelay(true);
                 Ok(Stream::Tcp(stream))
@@ -206,9 +207,9 @@
     }
 
     fn bind(&self, at: SocketAddr) -> io::Result<Listener> {
-        match &self.medium {
-            Medium::Fabric(fabric) => fabric.bind(at),
-            Medium::Loopback => {
+        match &self.transport {
+            Transport::Simulated(network) => network.bind(at),
+            Transport::Loopback => {
                 let listener = std::net::TcpListener::bind(at)?;
                 listener.set_nonblocking(true)?;
                 TcpListener::from_std(listener).map(Listener::Tcp)
@@ -217,16 +218,16 @@
     }
 }
 
-/// A task of a process: not polled while the process stands still, and late
-/// while it is slow.
-struct Gate {
-    proc: Arc<Proc>,
+/// A task of a process: not polled while the process is suspended, and delayed while the
+/// process is slow.
+struct ProcessTask {
+    proc: Arc<Process>,
     id: u64,
     task: BoxFuture<()>,
     late: Option<Pin<Box<Sleep>>>,
 }
 
-impl Future for Gate {
+impl Future for ProcessTask {
     type Output = ();
 
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
--- a/crates/net/tests/hedge.rs
+++ b/crates/net/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! Requests that are sent again while they have no response.
+//! Hedged requests: repetition while there is no response, and its budget.
 
 mod common;
 
@@ -17,12 +17,13 @@
     timeout_s: 1.0,
 };
 
-/// How long a request with an answer takes.
-const ANSWER: Duration = Duration::from_millis(10);
+/// Time until a request gets its response.
+const RESPONSE_TIME: Duration = Duration::from_millis(10);
 
-/// Sends a request whose n-th attempt behaves as `attempt` says; the result, and the attempts.
+/// Sends a hedged request whose n-th attempt is `attempt(n)`; returns the result and the number
+/// of attempts.
 async fn send<F>(
-    host: &cherrywood_net::Runtime,
+    runtime: &cherrywood_net::Runtime,
     budget: &RetryBudget,
     attempt: impl Fn(usize) -> F,
 ) -> (Result<usize, NetError>, usize)
@@ -30,7 +31,7 @@
     F: Future<Output = Result<usize, NetError>>,
 {
     let attempts = Cell::new(0);
-    let result = send_hedged(host, budget, POLICY, || {
+    let result = send_hedged(runtime, budget, POLICY, || {
         attempts.set(attempts.get() + 1);
         attempt(attempts.get())
     })
@@ -46,14 +47,14 @@
 }
 
 #[test]
-fn the_first_response_counts_whichever_request_it_is_for() {
-    run(|host| async move {
+fn the_first_response_is_taken_whichever_request_it_is_for() {
+    run(|runtime| async move {
         let budget = RetryBudget::default();
-        let (result, attempts) = send(&host, &budget, |attempt| async move {
+        let (result, attempts) = send(&runtime, &budget, |attempt| async move {
             if attempt < 3 {
                 std::future::pending::<()>().await;
             }
-            sleep(ANSWER).await;
+            sleep(RESPONSE_TIME).await;
             Ok(attempt)
         })
         .await;
@@ -62,29 +63,29 @@
 }
 
 #[test]
-fn a_request_that_is_answered_soon_or_refused_is_sent_once() {
-    run(|host| async move {
+fn a_request_with_an_early_response_or_an_error_is_sent_once() {
+    run(|runtime| async move {
         let budget = RetryBudget::default();
-        let answered = send(&host, &budget, |attempt| async move {
-            sleep(ANSWER).await;
+        let responded = send(&runtime, &budget, |attempt| async move {
+            sleep(RESPONSE_TIME).await;
             Ok(attempt)
         });
-        assert_eq!(answered.await, (Ok(1), 1));
-        let failed = send(&host, &budget, |_| async { Err(refused()) });
+        assert_eq!(responded.await, (Ok(1), 1));
+        let failed = send(&runtime, &budget, |_| async { Err(refused()) });
         assert_eq!(failed.await, (Err(refused()), 1));
     });
 }
 
-/// Repetitions must add no load to a service that answers nobody.
+/// Guards against repetitions that add load to a service that responds to nobody.
 #[test]
-fn a_service_that_answers_nobody_gets_no_more_than_the_budget() {
-    run(|host| async move {
+fn repetitions_to_a_service_that_never_responds_stay_within_the_budget() {
+    run(|runtime| async move {
         let budget = RetryBudget::default();
         let mut attempts = 0;
         let requests = 100;
         for _ in 0..requests {
-            let silent = send(&host, &budget, |_| std::future::pending());
-            let (result, sent) = silent.await;
+            let unanswered = send(&runtime, &budget, |_| std::future::pending());
+            let (result, sent) = unanswered.await;
             assert!(result.is_err());
             attempts += sent;
         }
