--- a/crates/emulator/src/cloud.rs
+++ b/crates/emulator/src/cloud.rs
@@ -10,7 +10,7 @@
 use cherrywood_checker::What;
 use cherrywood_net::Runtime;
 use cherrywood_net::server::{self, Request, Response};
-use cherrywood_scenario::Trouble;
+use cherrywood_scenario::Fault;
 use cherrywood_scenario::deployment::MachineType;
 use cherrywood_store::TokenBucket;
 use cherrywood_wire::ErrorResponse;
@@ -162,7 +162,7 @@
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
         let half = d.latency_ms / 2000.0 * (0.5 + self.chance());
         self.host.sleep(half).await;
-        let down = |t: &Trouble| matches!(t, Trouble::CloudOutage(_)).then_some(());
+        let down = |t: &Fault| matches!(t, Fault::CloudOutage(_)).then_some(());
         if !self.world.active_faults(down).is_empty() {
             return unavailable("trouble");
         }
@@ -170,8 +170,8 @@
             return Response::empty(429);
         }
         // The request is executed late; the client may have given up by then.
-        let late = |t: &Trouble| match t {
-            Trouble::CloudLate(t) => Some((t.share, t.by_s)),
+        let late = |t: &Fault| match t {
+            Fault::CloudLate(t) => Some((t.share, t.by_s)),
             _ => None,
         };
         for (share, by_s) in self.world.active_faults(late) {
@@ -245,8 +245,8 @@
         if self.chance() < OLD_LIST_SHARE {
             lag *= 1.0 + self.chance();
         }
-        let stale = |t: &Trouble| match t {
-            Trouble::CloudStale(t) => Some(t.lag_s),
+        let stale = |t: &Fault| match t {
+            Fault::CloudStale(t) => Some(t.lag_s),
             _ => None,
         };
         for extra in self.world.active_faults(stale) {
@@ -304,8 +304,8 @@
         if rent.count == 0 || rent.count > MAX_RENTAL_MACHINES {
             return Response::empty(400);
         }
-        let full = |t: &Trouble| match t {
-            Trouble::CloudFull(t) => Some(t.zone.clone()),
+        let full = |t: &Fault| match t {
+            Fault::CloudFull(t) => Some(t.zone.clone()),
             _ => None,
         };
         let full = self.world.active_faults(full);
@@ -388,8 +388,8 @@
 
     /// Draws the boot duration of a machine, s; `None` if it never boots.
     fn draw_boot_s(&self, name: &str) -> Option<f64> {
-        let boots = |t: &Trouble| match t {
-            Trouble::BootsLate(t) => Some((t.late, t.times, t.never, t.zone.clone())),
+        let boots = |t: &Fault| match t {
+            Fault::BootsLate(t) => Some((t.late, t.times, t.never, t.zone.clone())),
             _ => None,
         };
         let troubles = self.world.active_faults(boots);
--- a/crates/emulator/src/fault_injection.rs
+++ b/crates/emulator/src/fault_injection.rs
@@ -8,8 +8,8 @@
 use crate::worker::Worker;
 use crate::world::World;
 use cherrywood_checker::What;
-use cherrywood_scenario::trouble::{CancelNow, MachineMute, Side};
-use cherrywood_scenario::{Trouble, Who};
+use cherrywood_scenario::fault::{CancelNow, MachineMute, Side};
+use cherrywood_scenario::{Fault, Who};
 use rand::Rng;
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
@@ -81,7 +81,7 @@
         for node in 0..count {
             self.start_node(node);
         }
-        for t in self.world.scenario.all_troubles(self.world.seed) {
+        for t in self.world.scenario.all_faults(self.world.seed) {
             let own = self.clone();
             tokio::spawn(async move {
                 wait(t.at_s() - own.world.now_s()).await;
@@ -224,26 +224,26 @@
         }
     }
 
-    async fn inject(self: &Arc<Self>, trouble: &Trouble) {
-        if matches!(self.world.transport, Transport::Loopback) && !trouble.on_loopback() {
+    async fn inject(self: &Arc<Self>, trouble: &Fault) {
+        if matches!(self.world.transport, Transport::Loopback) && !trouble.can_run_on_loopback() {
             return;
         }
         let id = self.world.begin_fault(trouble);
         let for_s = trouble.for_s().unwrap_or(0.0);
         match trouble {
-            Trouble::NodeCrash(t) => {
+            Fault::NodeCrash(t) => {
                 for node in self.draw_controllers(t.who) {
                     self.crash(node);
                 }
             }
-            Trouble::NodeRoll(t) => {
+            Fault::NodeRoll(t) => {
                 let count = lock(&self.states).len();
                 for node in 0..count {
                     self.crash(node);
                     wait(t.every_s).await;
                 }
             }
-            Trouble::NodeEnds(t) => {
+            Fault::NodeEnds(t) => {
                 for _ in 0..t.times {
                     for node in self.draw_controllers(t.who) {
                         self.crash(node);
@@ -251,7 +251,7 @@
                     wait(t.every_s).await;
                 }
             }
-            Trouble::NodeFreeze(t) => {
+            Fault::NodeFreeze(t) => {
                 let all = self.draw_controllers(t.who).into_iter().map(|n| {
                     let own = self.clone();
                     tokio::spawn(async move { own.freeze(n, for_s).await })
@@ -260,7 +260,7 @@
                     let _ = one.await;
                 }
             }
-            Trouble::NodeSlow(t) => {
+            Fault::NodeSlow(t) => {
                 let hit = self.draw_controllers(t.who);
                 for n in &hit {
                     self.nodes.slow(*n, t.lag_ms);
@@ -270,7 +270,7 @@
                     self.nodes.slow(*n, 0.0);
                 }
             }
-            Trouble::NodeCut(t) => {
+            Fault::NodeCut(t) => {
                 let ip = |n: usize| self.world.addresses.nodes[n].0.ip();
                 let hosts: Vec<_> = self.draw_controllers(t.who).into_iter().map(ip).collect();
                 let side = |s: &Side| {
@@ -289,32 +289,32 @@
                 self.break_paths(paths.collect(), PathFault::Cut(t.mode), for_s)
                     .await;
             }
-            Trouble::NodeRefused(t) => {
+            Fault::NodeRefused(t) => {
                 self.state.refuse(id, self.draw_controllers(t.who));
                 wait(for_s).await;
                 self.state.accept(id);
             }
-            Trouble::PeersRefuse(_) => {
+            Fault::PeersRefuse(_) => {
                 let paths = vec![(Group::Role(Role::Node), Group::Role(Role::Node))];
                 self.break_paths(paths, PathFault::Refuse, for_s).await;
             }
-            Trouble::ZoneCut(t) => {
+            Fault::ZoneCut(t) => {
                 let paths = vec![(Group::Zone(t.zone.clone()), Group::Outside(t.zone.clone()))];
                 self.break_paths(paths, PathFault::Cut(t.mode), for_s).await;
             }
-            Trouble::StateOutage(_) => {
+            Fault::StateOutage(_) => {
                 wait(for_s).await;
                 self.world.end_fault(id);
                 self.state.end_outage();
             }
-            Trouble::StateBehind(_) => {
+            Fault::StateBehind(_) => {
                 self.state.update_rate_share();
                 wait(for_s).await;
                 self.world.end_fault(id);
                 self.state.update_rate_share();
             }
-            Trouble::StateLimits(_) => self.state.apply_next_limits(),
-            Trouble::MachineDie(t) => {
+            Fault::StateLimits(_) => self.state.apply_next_limits(),
+            Fault::MachineDie(t) => {
                 for (name, _) in self
                     .cloud
                     .draw_machines(t.count, t.zone.as_deref(), |_| true)
@@ -322,13 +322,13 @@
                     self.cloud.power_off(&name);
                 }
             }
-            Trouble::MachineHang(t) => {
+            Fault::MachineHang(t) => {
                 for (_, worker) in self.cloud.draw_machines(t.count, None, |_| true) {
                     tokio::spawn(worker.suspend(for_s));
                 }
                 wait(for_s).await;
             }
-            Trouble::MachineSlow(t) => {
+            Fault::MachineSlow(t) => {
                 let hit = self.cloud.draw_machines(t.count, None, |_| true);
                 for (_, worker) in &hit {
                     worker.set_traits(|m| m.slowdown = t.times);
@@ -338,7 +338,7 @@
                     worker.set_traits(|m| m.slowdown = 1.0);
                 }
             }
-            Trouble::MachineFaulty(t) => {
+            Fault::MachineFaulty(t) => {
                 let hit = self.cloud.draw_machines(t.count, None, |_| true);
                 for (_, worker) in &hit {
                     worker.set_traits(|m| m.faulty = true);
@@ -348,13 +348,13 @@
                     worker.set_traits(|m| m.faulty = false);
                 }
             }
-            Trouble::MachineCut(t) => {
+            Fault::MachineCut(t) => {
                 let hit = self.cloud.draw_machines(t.count, None, |_| true);
                 let hosts = hit.iter().map(|(_, w)| w.proc.ip).collect();
                 let paths = vec![(Group::Hosts(hosts), Group::Everyone)];
                 self.break_paths(paths, PathFault::Cut(t.mode), for_s).await;
             }
-            Trouble::MachineDeaf(t) => {
+            Fault::MachineDeaf(t) => {
                 let hit = self
                     .cloud
                     .draw_machines(t.count, t.zone.as_deref(), |_| true);
@@ -366,7 +366,7 @@
                     worker.set_inbound_blocked(false);
                 }
             }
-            Trouble::MachineMute(t) => {
+            Fault::MachineMute(t) => {
                 let hit = self.draw_outbound_blocked(t);
                 for worker in &hit {
                     worker.set_outbound_blocked(true);
@@ -376,12 +376,12 @@
                     worker.set_outbound_blocked(false);
                 }
             }
-            Trouble::CancelNow(t) => {
+            Fault::CancelNow(t) => {
                 self.cancel_now(t);
                 wait(for_s).await;
             }
-            Trouble::OddRequests(_) => self.users.clone().send_invalid_requests(for_s).await,
-            Trouble::SpotWave(t) => {
+            Fault::OddRequests(_) => self.users.clone().send_invalid_requests(for_s).await,
+            Fault::SpotWave(t) => {
                 let all = self.cloud.draw_machines(u32::MAX, None, |spot| spot);
                 let count = (all.len() as f64 * t.share).round() as usize;
                 let hit: Vec<String> = all.into_iter().take(count).map(|(n, _)| n).collect();
@@ -396,21 +396,21 @@
                 wait(for_s).await;
             }
             // The emulated systems query these faults themselves while they are active.
-            Trouble::StateSlow(_)
-            | Trouble::LateReports(_)
-            | Trouble::LateCommands(_)
-            | Trouble::CancelAtEnd(_)
-            | Trouble::CloseLooks(_)
-            | Trouble::StateLoses(_)
-            | Trouble::LateWrites(_)
-            | Trouble::WatchLag(_)
-            | Trouble::CloudOutage(_)
-            | Trouble::CloudFull(_)
-            | Trouble::CloudLate(_)
-            | Trouble::CloudStale(_)
-            | Trouble::BootsLate(_)
-            | Trouble::JobBurst(_)
-            | Trouble::PollStorm(_) => wait(for_s).await,
+            Fault::StateSlow(_)
+            | Fault::LateReports(_)
+            | Fault::LateCommands(_)
+            | Fault::CancelAtEnd(_)
+            | Fault::CloseLooks(_)
+            | Fault::StateLoses(_)
+            | Fault::LateWrites(_)
+            | Fault::WatchLag(_)
+            | Fault::CloudOutage(_)
+            | Fault::CloudFull(_)
+            | Fault::CloudLate(_)
+            | Fault::CloudStale(_)
+            | Fault::BootsLate(_)
+            | Fault::JobBurst(_)
+            | Fault::PollStorm(_) => wait(for_s).await,
         }
         self.world.end_fault(id);
     }
--- a/crates/emulator/src/fault_requests.rs
+++ b/crates/emulator/src/fault_requests.rs
@@ -6,7 +6,7 @@
 use crate::users::Users;
 use cherrywood_checker::What;
 use cherrywood_checker::history::Ask;
-use cherrywood_scenario::Trouble;
+use cherrywood_scenario::Fault;
 use cherrywood_wire::encode;
 use cherrywood_wire::user::Submission;
 use std::sync::Arc;
@@ -77,8 +77,8 @@
     }
 
     fn draws_cancel_at_end(&self) -> bool {
-        let share = |t: &Trouble| match t {
-            Trouble::CancelAtEnd(t) => Some(t.share),
+        let share = |t: &Fault| match t {
+            Fault::CancelAtEnd(t) => Some(t.share),
             _ => None,
         };
         let shares = self.world.active_faults(share);
@@ -90,7 +90,7 @@
     /// While a fault demands it, queries all controllers repeatedly about this job, and
     /// repeats its submission at one of them.
     pub(crate) fn query_all_controllers(self: &Arc<Self>, job: &str) {
-        let close = |t: &Trouble| matches!(t, Trouble::CloseLooks(_)).then_some(());
+        let close = |t: &Fault| matches!(t, Fault::CloseLooks(_)).then_some(());
         if self.world.active_faults(close).is_empty() {
             return;
         }
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -6,7 +6,7 @@
 //! Virtual time advances in steps of a millisecond, as the runtime's timers do.
 
 use cherrywood_net::runtime::{EmulatedListener, Listener, Stream};
-use cherrywood_scenario::Cut;
+use cherrywood_scenario::PartitionMode;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, VecDeque};
@@ -63,7 +63,7 @@
 /// The way in which a path is broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PathFault {
-    Cut(Cut),
+    Cut(PartitionMode),
     /// A packet filter: new connections are refused, and existing ones reset.
     Refuse,
 }
@@ -193,8 +193,8 @@
                 continue;
             }
             match b.fault {
-                PathFault::Cut(Cut::Reset) => return Path::Reset,
-                PathFault::Cut(Cut::Hold) => worst = Path::Held,
+                PathFault::Cut(PartitionMode::Reset) => return Path::Reset,
+                PathFault::Cut(PartitionMode::Hold) => worst = Path::Held,
                 PathFault::Refuse if worst == Path::Open => worst = Path::Refused,
                 PathFault::Refuse => {}
             }
@@ -285,7 +285,7 @@
             net.next_id += 1;
             net.broken_paths.push(BrokenPath { id, a, b, fault });
             let mut reset = Vec::new();
-            if fault != PathFault::Cut(Cut::Hold) {
+            if fault != PathFault::Cut(PartitionMode::Hold) {
                 let all = self.live_connections(&mut net, |_| true);
                 let ended = [Path::Reset, Path::Refused];
                 let ends = |c: &Arc<Conn>| ended.contains(&net.path(c.ends[0], c.ends[1]));
--- a/crates/emulator/src/state_service.rs
+++ b/crates/emulator/src/state_service.rs
@@ -7,8 +7,8 @@
 use crate::world::{Leadership, World};
 use cherrywood_net::Runtime;
 use cherrywood_net::server::{self, Request, Response};
-use cherrywood_scenario::trouble::Lost;
-use cherrywood_scenario::{Trouble, Who};
+use cherrywood_scenario::fault::Lost;
+use cherrywood_scenario::{Fault, Who};
 use cherrywood_store::{HeldWatch, ServiceLimits};
 use cherrywood_store::{ServiceReply, StoreService};
 use rand::Rng;
@@ -111,7 +111,7 @@
     }
 
     fn is_down(&self) -> bool {
-        let down = |t: &Trouble| matches!(t, Trouble::StateOutage(_)).then_some(());
+        let down = |t: &Fault| matches!(t, Fault::StateOutage(_)).then_some(());
         !self.world.active_faults(down).is_empty()
     }
 
@@ -125,8 +125,8 @@
 
     /// Scales the service's rates to the least share that active faults set.
     pub fn update_rate_share(&self) {
-        let behind = |t: &Trouble| match t {
-            Trouble::StateBehind(t) => Some(t.share),
+        let behind = |t: &Fault| match t {
+            Fault::StateBehind(t) => Some(t.share),
             _ => None,
         };
         let share = self
@@ -164,8 +164,8 @@
         if self.chance() < s.slow {
             ms += SLOW_MS.0 + self.chance() * (SLOW_MS.1 - SLOW_MS.0);
         }
-        let slow = |t: &Trouble| match t {
-            Trouble::StateSlow(t) => Some((t.share, t.ms)),
+        let slow = |t: &Fault| match t {
+            Fault::StateSlow(t) => Some((t.share, t.ms)),
             _ => None,
         };
         for (share, extra) in self.world.active_faults(slow) {
@@ -177,8 +177,8 @@
     }
 
     fn draw_loss(&self) -> Option<(Lost, f64)> {
-        let loses = |t: &Trouble| match t {
-            Trouble::StateLoses(t) => Some((t.share, t.when, t.late_s)),
+        let loses = |t: &Fault| match t {
+            Fault::StateLoses(t) => Some((t.share, t.when, t.late_s)),
             _ => None,
         };
         let all = self.world.active_faults(loses);
@@ -192,8 +192,8 @@
         if request.path != "/txn" {
             return None;
         }
-        let late = |t: &Trouble| match t {
-            Trouble::LateWrites(t) => Some((t.share, t.at_once)),
+        let late = |t: &Fault| match t {
+            Fault::LateWrites(t) => Some((t.share, t.at_once)),
             _ => None,
         };
         let all = self.world.active_faults(late);
@@ -209,7 +209,7 @@
 
     /// Whether a fault leaves watches waiting.
     fn has_watch_lag(&self) -> bool {
-        let lag = |t: &Trouble| matches!(t, Trouble::WatchLag(_)).then_some(());
+        let lag = |t: &Fault| matches!(t, Fault::WatchLag(_)).then_some(());
         !self.world.active_faults(lag).is_empty()
     }
 
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -12,7 +12,7 @@
 use cherrywood_checker::history::{Ask, State};
 use cherrywood_net::client::{ClientResponse, exchange};
 use cherrywood_net::{Runtime, Stream};
-use cherrywood_scenario::Trouble;
+use cherrywood_scenario::Fault;
 use cherrywood_wire::user::{JobState, JobStatus, Submission};
 use cherrywood_wire::{decode, encode};
 use rand::Rng;
@@ -292,8 +292,8 @@
             self.arrive(class, 0.0);
         }
         while self.is_playing() {
-            let burst = |t: &Trouble| match t {
-                Trouble::JobBurst(t) if t.class == c.name => Some(t.times),
+            let burst = |t: &Fault| match t {
+                Fault::JobBurst(t) if t.class == c.name => Some(t.times),
                 _ => None,
             };
             let times = self
@@ -508,8 +508,8 @@
         let every = self.world.scenario.workload.poll_s;
         let mut unwanted = false;
         loop {
-            let storm = |t: &Trouble| match t {
-                Trouble::PollStorm(t) => Some(t.times),
+            let storm = |t: &Fault| match t {
+                Fault::PollStorm(t) => Some(t.times),
                 _ => None,
             };
             let times = self
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -11,9 +11,9 @@
 use cherrywood_net::client::{ClientResponse, exchange};
 use cherrywood_net::server::{self, Request, Response};
 use cherrywood_net::{NetError, NotExecutedCause, Runtime, Stream};
-use cherrywood_scenario::Trouble;
+use cherrywood_scenario::Fault;
 use cherrywood_scenario::deployment::MachineType;
-use cherrywood_scenario::trouble::LateReports;
+use cherrywood_scenario::fault::LateReports;
 use cherrywood_wire::agent::{DirectCommands, HeartbeatResponse, Redirect};
 use cherrywood_wire::{decode, encode};
 use std::io;
@@ -274,8 +274,8 @@
         if request.path != "/orders" {
             return false;
         }
-        let late = |t: &Trouble| match t {
-            Trouble::LateCommands(t) => Some(t.share),
+        let late = |t: &Fault| match t {
+            Fault::LateCommands(t) => Some(t.share),
             _ => None,
         };
         let shares = self.world.active_faults(late).into_iter();
@@ -378,8 +378,8 @@
 
     /// Sends copies of a heartbeat that arrive late, while a fault demands it.
     fn send_late_copies(&self, body: &[u8]) {
-        let copies = |t: &Trouble| match t {
-            Trouble::LateReports(t) => Some(t.clone()),
+        let copies = |t: &Fault| match t {
+            Fault::LateReports(t) => Some(t.clone()),
             _ => None,
         };
         for trouble in self.world.active_faults(copies) {
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -7,7 +7,7 @@
 use crate::process::{Clocks, Process, Transport};
 use cherrywood_checker::history::{Facts, Job};
 use cherrywood_checker::{Checker, History, What};
-use cherrywood_scenario::{Scenario, Trouble};
+use cherrywood_scenario::{Fault, Scenario};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
@@ -83,7 +83,7 @@
     finished: BTreeMap<String, u32>,
     /// Jobs whose last task has finished and that `next_finished_jobs` has not returned yet.
     finished_jobs: Vec<String>,
-    active_faults: Vec<(u64, Trouble)>,
+    active_faults: Vec<(u64, Fault)>,
     next_fault_id: u64,
     /// Number of jobs whose users still wait for an outcome.
     open_jobs: u64,
@@ -253,7 +253,7 @@
 
     // --- faults ---
 
-    pub fn begin_fault(&self, trouble: &Trouble) -> u64 {
+    pub fn begin_fault(&self, trouble: &Fault) -> u64 {
         let id = {
             let mut core = lock(&self.core);
             let id = core.next_fault_id;
@@ -279,7 +279,7 @@
     }
 
     /// Returns the values that `select` returns for the active faults.
-    pub fn active_faults<T>(&self, select: impl Fn(&Trouble) -> Option<T>) -> Vec<T> {
+    pub fn active_faults<T>(&self, select: impl Fn(&Fault) -> Option<T>) -> Vec<T> {
         let core = lock(&self.core);
         core.active_faults
             .iter()
--- a/crates/emulator/tests/network.rs
+++ b/crates/emulator/tests/network.rs
@@ -4,7 +4,7 @@
 use cherrywood_emulator::{Clocks, Network, Process, Transport};
 use cherrywood_net::Runtime;
 use cherrywood_net::runtime::{Listener, Stream};
-use cherrywood_scenario::Cut;
+use cherrywood_scenario::PartitionMode;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -96,7 +96,7 @@
         let cut = w.network.break_paths(
             Group::Role(Role::Node),
             Group::Role(Role::State),
-            PathFault::Cut(Cut::Hold),
+            PathFault::Cut(PartitionMode::Hold),
         );
         c.write_all(b"late").await.unwrap();
         drop(c);
@@ -131,7 +131,7 @@
         let cut = w.network.break_paths(
             Group::Zone("x".into()),
             Group::Outside("x".into()),
-            PathFault::Cut(Cut::Reset),
+            PathFault::Cut(PartitionMode::Reset),
         );
         assert!(c.write_all(b"x").await.is_err());
         assert!(s.read(&mut [0; 1]).await.is_err());
--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -1,7 +1,7 @@
 //! Validation across fields: values that are valid one by one can contradict one another.
 
 use crate::workload::JobKind;
-use crate::{Aim, Scenario, Trouble};
+use crate::{Aim, Fault, Scenario};
 use garde::{Error, Path, Report};
 
 fn join_names(names: &[&str]) -> String {
@@ -156,26 +156,26 @@
             reject(aims.join(i), "class is empty".to_string());
         }
     }
-    let troubles = root().join("troubles");
+    let faults = root().join("troubles");
     for (i, t) in scenario.troubles.iter().enumerate() {
-        let at = |field| troubles.join(i).join(field);
+        let at = |field| faults.join(i).join(field);
         if t.at_s() >= scenario.play_s {
             let why = format!("after the end of play, which is at {} s", scenario.play_s);
             reject(at("at_s"), why);
         }
         let zone = match t {
-            Trouble::ZoneCut(t) => Some(&t.zone),
-            Trouble::CloudFull(t) => t.zone.as_ref(),
-            Trouble::BootsLate(t) => t.zone.as_ref(),
-            Trouble::MachineDie(t) => t.zone.as_ref(),
-            Trouble::MachineDeaf(t) => t.zone.as_ref(),
-            Trouble::MachineMute(t) => t.zone.as_ref(),
+            Fault::ZoneCut(t) => Some(&t.zone),
+            Fault::CloudFull(t) => t.zone.as_ref(),
+            Fault::BootsLate(t) => t.zone.as_ref(),
+            Fault::MachineDie(t) => t.zone.as_ref(),
+            Fault::MachineDeaf(t) => t.zone.as_ref(),
+            Fault::MachineMute(t) => t.zone.as_ref(),
             _ => None,
         };
         if zone.is_some_and(|z| !zones.contains(&z.as_str())) {
             reject(at("zone"), unknown("zone", &zones));
         }
-        if let Trouble::JobBurst(t) = t
+        if let Fault::JobBurst(t) = t
             && !classes.contains(&t.class.as_str())
         {
             reject(at("class"), unknown("class", &classes));
--- a/crates/scenario/src/compound.rs
+++ b/crates/scenario/src/compound.rs
@@ -1,8 +1,8 @@
 //! Compound failures: several failures within seconds of a leader election, drawn from the seed,
 //! on a deployment that may be drawn from the seed as well.
 
-use crate::trouble::*;
-use crate::{Deployment, Scenario, Trouble};
+use crate::fault::*;
+use crate::{Deployment, Fault, Scenario};
 use garde::Validate;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -128,11 +128,11 @@
                 draw_deployment(&mut scenario.deployment, &mut rng);
             }
             for _ in 0..compound.count {
-                let troubles = draw_compound_failure(&scenario, &compound, &mut rng);
-                scenario.troubles.extend(troubles);
+                let faults = draw_compound_failure(&scenario, &compound, &mut rng);
+                scenario.troubles.extend(faults);
             }
         }
-        scenario.troubles = scenario.all_troubles(seed);
+        scenario.troubles = scenario.all_faults(seed);
         scenario.drawn.clear();
         scenario
     }
@@ -160,61 +160,57 @@
 }
 
 /// Draws one compound failure: an election, and two or three failures within seconds of it.
-fn draw_compound_failure(
-    scenario: &Scenario,
-    compound: &Compound,
-    rng: &mut Pcg64,
-) -> Vec<Trouble> {
+fn draw_compound_failure(scenario: &Scenario, compound: &Compound, rng: &mut Pcg64) -> Vec<Fault> {
     let of = match compound.of.as_slice() {
         [] => Failure::ALL,
         of => of,
     };
     let at_s = rng.random_range(compound.from_s..compound.to_s.max(compound.from_s + 0.1));
-    let mut troubles = vec![draw_election(at_s, rng)];
+    let mut faults = vec![draw_election(at_s, rng)];
     for _ in 0..rng.random_range(FAILURES.0..=FAILURES.1) {
         let failure = of[rng.random_range(0..of.len())];
         let begins_s = at_s + rng.random_range(-MAX_OFFSET_S..MAX_OFFSET_S);
-        troubles.extend(failure.troubles(scenario, begins_s, rng));
+        faults.extend(failure.faults(scenario, begins_s, rng));
     }
     let last_s = (scenario.play_s - MARGIN_S).max(MARGIN_S);
-    for trouble in &mut troubles {
-        let at_s = trouble.at_s().clamp(MARGIN_S, last_s);
-        trouble.set_at_s((at_s * 10.0).round() / 10.0);
+    for fault in &mut faults {
+        let at_s = fault.at_s().clamp(MARGIN_S, last_s);
+        fault.set_at_s((at_s * 10.0).round() / 10.0);
     }
-    troubles
+    faults
 }
 
 /// Draws a fault that makes another controller lead.
-fn draw_election(at_s: f64, rng: &mut Pcg64) -> Trouble {
+fn draw_election(at_s: f64, rng: &mut Pcg64) -> Fault {
     let who = Who::Leader;
     match rng.random_range(0..5) {
-        0 => Trouble::NodeFreeze(NodeFreeze {
+        0 => Fault::NodeFreeze(NodeFreeze {
             at_s,
             for_s: 12.0,
             who,
         }),
-        1 => Trouble::NodeRefused(NodeRefused {
+        1 => Fault::NodeRefused(NodeRefused {
             at_s,
             for_s: 12.0,
             who,
         }),
-        2 => Trouble::NodeEnds(NodeEnds {
+        2 => Fault::NodeEnds(NodeEnds {
             at_s,
             every_s: 0.5,
             times: 4,
             who,
         }),
-        3 => Trouble::NodeCrash(NodeCrash {
+        3 => Fault::NodeCrash(NodeCrash {
             at_s,
             who: Who::All,
         }),
-        _ => Trouble::NodeCrash(NodeCrash { at_s, who }),
+        _ => Fault::NodeCrash(NodeCrash { at_s, who }),
     }
 }
 
 impl Failure {
     /// Returns the faults of the failure, which begins at `at_s`.
-    pub fn troubles(self, scenario: &Scenario, at_s: f64, rng: &mut Pcg64) -> Vec<Trouble> {
+    pub fn faults(self, scenario: &Scenario, at_s: f64, rng: &mut Pcg64) -> Vec<Fault> {
         let d = &scenario.deployment;
         let (who, lease_s) = (Who::Leader, d.workers.lease_s);
         let outage_s = d.workers.cancel_s + BEYOND_CANCEL_S;
@@ -223,34 +219,34 @@
         let class = classes[rng.random_range(0..classes.len())].name.clone();
         let machines: u32 = d.capacity.iter().map(|c| c.count + c.spot).sum();
         let quarter = (machines / 4).max(1);
-        let mode = [Cut::Hold, Cut::Reset][rng.random_range(0..2)];
+        let mode = [PartitionMode::Hold, PartitionMode::Reset][rng.random_range(0..2)];
         let cancel = |at_s, hang_s| {
-            Trouble::CancelNow(CancelNow {
+            Fault::CancelNow(CancelNow {
                 at_s,
                 count: 8,
                 hang_s,
             })
         };
         let cancel_at_end = |share| {
-            Trouble::CancelAtEnd(CancelAtEnd {
+            Fault::CancelAtEnd(CancelAtEnd {
                 at_s,
                 for_s: 30.0,
                 share,
             })
         };
         let ends = |every_s, times| {
-            Trouble::NodeEnds(NodeEnds {
+            Fault::NodeEnds(NodeEnds {
                 at_s,
                 every_s,
                 times,
                 who,
             })
         };
-        let crash = |at_s, who| Trouble::NodeCrash(NodeCrash { at_s, who });
-        let outage = |at_s, for_s| Trouble::StateOutage(StateOutage { at_s, for_s });
-        let refused = |for_s| Trouble::NodeRefused(NodeRefused { at_s, for_s, who });
+        let crash = |at_s, who| Fault::NodeCrash(NodeCrash { at_s, who });
+        let outage = |at_s, for_s| Fault::StateOutage(StateOutage { at_s, for_s });
+        let refused = |for_s| Fault::NodeRefused(NodeRefused { at_s, for_s, who });
         let writes = |share, at_once| {
-            Trouble::LateWrites(LateWrites {
+            Fault::LateWrites(LateWrites {
                 at_s,
                 for_s: 25.0,
                 share,
@@ -259,7 +255,7 @@
         };
         let reports = |at_s, share, for_next| {
             let (for_s, late_s) = (40.0, None);
-            Trouble::LateReports(LateReports {
+            Fault::LateReports(LateReports {
                 at_s,
                 for_s,
                 share,
@@ -268,7 +264,7 @@
             })
         };
         let partitioned_machines = |for_s| {
-            Trouble::MachineCut(MachineCut {
+            Fault::MachineCut(MachineCut {
                 at_s,
                 count: quarter,
                 for_s,
@@ -276,20 +272,20 @@
             })
         };
         let burst = |times| {
-            Trouble::JobBurst(JobBurst {
+            Fault::JobBurst(JobBurst {
                 at_s,
                 for_s: 30.0,
                 class: class.clone(),
                 times,
             })
         };
-        let close_queries = Trouble::CloseLooks(CloseLooks { at_s, for_s: 40.0 });
-        let invalid_requests = Trouble::OddRequests(OddRequests { at_s, for_s: 30.0 });
+        let close_queries = Fault::CloseLooks(CloseLooks { at_s, for_s: 40.0 });
+        let invalid_requests = Fault::OddRequests(OddRequests { at_s, for_s: 30.0 });
         match self {
             Failure::CancelDuringHandover => vec![cancel(at_s, None), crash(at_s + 0.5, Who::Any)],
             Failure::ZoneBoundLoseMachines => {
                 let zone = Some(zone);
-                vec![Trouble::MachineDie(MachineDie {
+                vec![Fault::MachineDie(MachineDie {
                     at_s,
                     count: quarter,
                     zone,
@@ -304,7 +300,7 @@
             Failure::OldReportsAtElection => vec![reports(at_s - 15.0, 0.5, true)],
             Failure::LateCommands => {
                 let share = 0.5;
-                let late = super::trouble::LateCommands {
+                let late = super::fault::LateCommands {
                     at_s,
                     for_s: 30.0,
                     share,
@@ -314,7 +310,7 @@
                     count: quarter,
                     for_s: lease_s / 2.0,
                 };
-                vec![Trouble::LateCommands(late), Trouble::MachineHang(hang)]
+                vec![Fault::LateCommands(late), Fault::MachineHang(hang)]
             }
             Failure::StateAway => {
                 let slow = StateSlow {
@@ -329,8 +325,8 @@
                     times: 5.0,
                 };
                 vec![
-                    Trouble::StateSlow(slow),
-                    Trouble::PollStorm(queries),
+                    Fault::StateSlow(slow),
+                    Fault::PollStorm(queries),
                     refused(10.0),
                     outage(at_s + 8.0, outage_s),
                     cancel(at_s + 4.0, None),
@@ -347,7 +343,7 @@
                     share,
                     zone,
                 };
-                vec![Trouble::MachineMute(partition), cancel(at_s + 3.0, None)]
+                vec![Fault::MachineMute(partition), cancel(at_s + 3.0, None)]
             }
             Failure::CutLeader => {
                 let from = vec![Side::State, Side::Peers];
@@ -358,7 +354,7 @@
                     from,
                     mode,
                 };
-                vec![Trouble::NodeCut(partition), cancel(at_s + 12.0, None)]
+                vec![Fault::NodeCut(partition), cancel(at_s + 12.0, None)]
             }
             Failure::ManyLeaders => vec![ends(12.0, 10), outage(at_s + 20.0, 15.0)],
             Failure::CancelAtRefusal => {
@@ -374,7 +370,7 @@
             Failure::ManySmallJobs => vec![burst(4.0), cancel_at_end(0.25)],
             Failure::ZoneCut => {
                 let for_s = lease_s * 1.5;
-                vec![Trouble::ZoneCut(super::trouble::ZoneCut {
+                vec![Fault::ZoneCut(super::fault::ZoneCut {
                     at_s,
                     for_s,
                     zone,
@@ -391,10 +387,7 @@
                     count,
                     zone,
                 };
-                vec![
-                    Trouble::MachineDeaf(partition),
-                    partitioned_machines(lease_s),
-                ]
+                vec![Fault::MachineDeaf(partition), partitioned_machines(lease_s)]
             }
             Failure::Overload => vec![burst(6.0)],
             Failure::CloseLooks => vec![close_queries, invalid_requests, cancel(at_s + 1.0, None)],
@@ -403,7 +396,7 @@
             Failure::LateTransactions => vec![writes(0.4, false)],
             Failure::AllAway => {
                 let (for_s, who) = (lease_s * 1.5, Who::All);
-                vec![Trouble::NodeFreeze(NodeFreeze { at_s, for_s, who })]
+                vec![Fault::NodeFreeze(NodeFreeze { at_s, for_s, who })]
             }
             Failure::HandOverAndBack => vec![ends(1.0, 5), crash(at_s + 5.5, Who::All)],
         }
--- a/crates/scenario/src/draw.rs
+++ b/crates/scenario/src/draw.rs
@@ -1,7 +1,7 @@
 //! Faults and deployments drawn from the seed.
 
-use crate::trouble::*;
-use crate::{Scenario, Trouble};
+use crate::fault::*;
+use crate::{Fault, Scenario};
 use garde::Validate;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -138,7 +138,7 @@
     }
 
     /// Returns the faults of the file and those drawn from the seed, ordered by time.
-    pub fn all_troubles(&self, seed: u64) -> Vec<Trouble> {
+    pub fn all_faults(&self, seed: u64) -> Vec<Fault> {
         // A random stream of its own, so that other draws do not shift these.
         let mut rng = Pcg64::seed_from_u64(seed ^ 0x7472_6f75_626c_6573);
         let mut all = self.troubles.clone();
@@ -159,7 +159,7 @@
     }
 
     /// Draws the parameters of a fault of this kind.
-    fn draw_fault(&self, kind: Kind, at_s: f64, rng: &mut Pcg64) -> Trouble {
+    fn draw_fault(&self, kind: Kind, at_s: f64, rng: &mut Pcg64) -> Fault {
         let d = &self.deployment;
         let mut between =
             |least: f64, most: f64| (rng.random_range(least..most) * 10.0).round() / 10.0;
@@ -167,7 +167,7 @@
         let share = between(0.1, 0.9);
         let times = between(2.0, 6.0);
         let who = [Who::Leader, Who::Follower, Who::Any][rng.random_range(0..3)];
-        let mode = [Cut::Hold, Cut::Reset][rng.random_range(0..2)];
+        let mode = [PartitionMode::Hold, PartitionMode::Reset][rng.random_range(0..2)];
         let when = [Lost::Before, Lost::After, Lost::Late][rng.random_range(0..3)];
         let zone = d.zones[rng.random_range(0..d.zones.len())].clone();
         let classes = &self.workload.classes;
@@ -183,80 +183,80 @@
         };
         let late_s = for_s / 2.0;
         match kind {
-            Kind::NodeCrash => Trouble::NodeCrash(NodeCrash {
+            Kind::NodeCrash => Fault::NodeCrash(NodeCrash {
                 at_s,
                 who: if for_s < 12.0 { Who::All } else { who },
             }),
-            Kind::NodeRoll => Trouble::NodeRoll(NodeRoll {
+            Kind::NodeRoll => Fault::NodeRoll(NodeRoll {
                 at_s,
                 every_s: for_s,
             }),
-            Kind::NodeEnds => Trouble::NodeEnds(NodeEnds {
+            Kind::NodeEnds => Fault::NodeEnds(NodeEnds {
                 at_s,
                 every_s: (for_s / 10.0).max(0.3),
                 times: times.round() as u32,
                 who,
             }),
-            Kind::NodeFreeze => Trouble::NodeFreeze(NodeFreeze { at_s, for_s, who }),
-            Kind::NodeSlow => Trouble::NodeSlow(NodeSlow {
+            Kind::NodeFreeze => Fault::NodeFreeze(NodeFreeze { at_s, for_s, who }),
+            Kind::NodeSlow => Fault::NodeSlow(NodeSlow {
                 at_s,
                 for_s,
                 who,
                 lag_ms: (for_s * 10.0).round(),
             }),
-            Kind::NodeCut => Trouble::NodeCut(NodeCut {
+            Kind::NodeCut => Fault::NodeCut(NodeCut {
                 at_s,
                 for_s,
                 who,
                 from,
                 mode,
             }),
-            Kind::NodeRefused => Trouble::NodeRefused(NodeRefused { at_s, for_s, who }),
-            Kind::PeersRefuse => Trouble::PeersRefuse(PeersRefuse { at_s, for_s }),
-            Kind::StateOutage => Trouble::StateOutage(StateOutage { at_s, for_s }),
-            Kind::StateSlow => Trouble::StateSlow(StateSlow {
+            Kind::NodeRefused => Fault::NodeRefused(NodeRefused { at_s, for_s, who }),
+            Kind::PeersRefuse => Fault::PeersRefuse(PeersRefuse { at_s, for_s }),
+            Kind::StateOutage => Fault::StateOutage(StateOutage { at_s, for_s }),
+            Kind::StateSlow => Fault::StateSlow(StateSlow {
                 at_s,
                 for_s,
                 share,
                 ms: for_s * 50.0,
             }),
-            Kind::StateBehind => Trouble::StateBehind(StateBehind {
+            Kind::StateBehind => Fault::StateBehind(StateBehind {
                 at_s,
                 for_s,
                 share: share.max(0.15),
             }),
-            Kind::StateLoses => Trouble::StateLoses(StateLoses {
+            Kind::StateLoses => Fault::StateLoses(StateLoses {
                 at_s,
                 for_s,
                 share: share / 2.0,
                 when,
                 late_s,
             }),
-            Kind::LateWrites => Trouble::LateWrites(LateWrites {
+            Kind::LateWrites => Fault::LateWrites(LateWrites {
                 at_s,
                 for_s,
                 share: share / 2.0,
                 at_once: times > 4.0,
             }),
-            Kind::WatchLag => Trouble::WatchLag(WatchLag { at_s, for_s }),
-            Kind::CloudOutage => Trouble::CloudOutage(CloudOutage { at_s, for_s }),
-            Kind::CloudFull => Trouble::CloudFull(CloudFull {
+            Kind::WatchLag => Fault::WatchLag(WatchLag { at_s, for_s }),
+            Kind::CloudOutage => Fault::CloudOutage(CloudOutage { at_s, for_s }),
+            Kind::CloudFull => Fault::CloudFull(CloudFull {
                 at_s,
                 for_s,
                 zone: (share > 0.5).then_some(zone),
             }),
-            Kind::CloudLate => Trouble::CloudLate(CloudLate {
+            Kind::CloudLate => Fault::CloudLate(CloudLate {
                 at_s,
                 for_s,
                 share,
                 by_s: for_s,
             }),
-            Kind::CloudStale => Trouble::CloudStale(CloudStale {
+            Kind::CloudStale => Fault::CloudStale(CloudStale {
                 at_s,
                 for_s,
                 lag_s: for_s,
             }),
-            Kind::BootsLate => Trouble::BootsLate(BootsLate {
+            Kind::BootsLate => Fault::BootsLate(BootsLate {
                 at_s,
                 for_s,
                 late: share,
@@ -264,73 +264,73 @@
                 never: share / 4.0,
                 zone: (share > 0.5).then_some(zone),
             }),
-            Kind::MachineDie => Trouble::MachineDie(MachineDie {
+            Kind::MachineDie => Fault::MachineDie(MachineDie {
                 at_s,
                 count,
                 zone: None,
             }),
-            Kind::MachineHang => Trouble::MachineHang(MachineHang { at_s, count, for_s }),
-            Kind::MachineSlow => Trouble::MachineSlow(MachineSlow {
+            Kind::MachineHang => Fault::MachineHang(MachineHang { at_s, count, for_s }),
+            Kind::MachineSlow => Fault::MachineSlow(MachineSlow {
                 at_s,
                 count,
                 for_s,
                 times,
             }),
-            Kind::MachineFaulty => Trouble::MachineFaulty(MachineFaulty { at_s, count, for_s }),
-            Kind::MachineCut => Trouble::MachineCut(MachineCut {
+            Kind::MachineFaulty => Fault::MachineFaulty(MachineFaulty { at_s, count, for_s }),
+            Kind::MachineCut => Fault::MachineCut(MachineCut {
                 at_s,
                 count,
                 for_s,
                 mode,
             }),
-            Kind::MachineDeaf => Trouble::MachineDeaf(MachineDeaf {
+            Kind::MachineDeaf => Fault::MachineDeaf(MachineDeaf {
                 at_s,
                 for_s,
                 count,
                 zone: None,
             }),
-            Kind::MachineMute => Trouble::MachineMute(MachineMute {
+            Kind::MachineMute => Fault::MachineMute(MachineMute {
                 at_s,
                 for_s,
                 count: (share <= 0.5).then_some(count),
                 share: None,
                 zone: (share > 0.5).then_some(zone),
             }),
-            Kind::LateReports => Trouble::LateReports(LateReports {
+            Kind::LateReports => Fault::LateReports(LateReports {
                 at_s,
                 for_s,
                 share,
                 late_s: None,
                 for_next: times > 4.0,
             }),
-            Kind::LateCommands => Trouble::LateCommands(LateCommands { at_s, for_s, share }),
-            Kind::SpotWave => Trouble::SpotWave(SpotWave {
+            Kind::LateCommands => Fault::LateCommands(LateCommands { at_s, for_s, share }),
+            Kind::SpotWave => Fault::SpotWave(SpotWave {
                 at_s,
                 share: share / 2.0,
                 over_s: for_s,
                 notice_s: if share > 0.5 { 10.0 } else { 0.0 },
             }),
-            Kind::ZoneCut => Trouble::ZoneCut(ZoneCut {
+            Kind::ZoneCut => Fault::ZoneCut(ZoneCut {
                 at_s,
                 for_s,
                 zone,
                 mode,
             }),
-            Kind::JobBurst => Trouble::JobBurst(JobBurst {
+            Kind::JobBurst => Fault::JobBurst(JobBurst {
                 at_s,
                 for_s,
                 class,
                 times,
             }),
-            Kind::PollStorm => Trouble::PollStorm(PollStorm { at_s, for_s, times }),
-            Kind::CancelNow => Trouble::CancelNow(CancelNow {
+            Kind::PollStorm => Fault::PollStorm(PollStorm { at_s, for_s, times }),
+            Kind::CancelNow => Fault::CancelNow(CancelNow {
                 at_s,
                 count: times.round() as u32 * 2,
                 hang_s: (share > 0.5).then_some(for_s),
             }),
-            Kind::CancelAtEnd => Trouble::CancelAtEnd(CancelAtEnd { at_s, for_s, share }),
-            Kind::OddRequests => Trouble::OddRequests(OddRequests { at_s, for_s }),
-            Kind::CloseLooks => Trouble::CloseLooks(CloseLooks { at_s, for_s }),
+            Kind::CancelAtEnd => Fault::CancelAtEnd(CancelAtEnd { at_s, for_s, share }),
+            Kind::OddRequests => Fault::OddRequests(OddRequests { at_s, for_s }),
+            Kind::CloseLooks => Fault::CloseLooks(CloseLooks { at_s, for_s }),
         }
     }
 }
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/fault.rs
@@ -22,7 +22,7 @@
 /// Treatment of packets on a partitioned network path.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Cut {
+pub enum PartitionMode {
     /// Packets are held back, and delivered in order once the partition heals.
     #[default]
     Hold,
@@ -57,7 +57,7 @@
     Side::ALL.to_vec()
 }
 
-macro_rules! troubles {
+macro_rules! faults {
     ($(
         $(#[doc = $about:literal])*
         $(#[serde(alias = $old_name:literal)])?
@@ -68,7 +68,7 @@
         /// A fault to inject; `at_s` counts from the beginning of the scenario.
         #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
         #[serde(rename_all = "snake_case", deny_unknown_fields)]
-        pub enum Trouble {
+        pub enum Fault {
             $(
                 $(#[doc = $about])*
                 $(#[serde(alias = $old_name)])?
@@ -87,19 +87,19 @@
             }
         )*
 
-        impl Trouble {
+        impl Fault {
             pub fn at_s(&self) -> f64 {
-                match self { $( Trouble::$name(t) => t.at_s, )* }
+                match self { $( Fault::$name(t) => t.at_s, )* }
             }
 
             pub fn set_at_s(&mut self, at_s: f64) {
-                match self { $( Trouble::$name(t) => t.at_s = at_s, )* }
+                match self { $( Fault::$name(t) => t.at_s = at_s, )* }
             }
         }
     };
 }
 
-troubles! {
+faults! {
     /// Controllers are killed and restarted.
     NodeCrash {
         #[serde(default)]
@@ -153,7 +153,7 @@
         from: Vec<Side>,
         #[serde(default)]
         #[garde(skip)]
-        mode: Cut,
+        mode: PartitionMode,
     }
     /// The key-value store responds 503 to these controllers only.
     NodeRefused {
@@ -308,7 +308,7 @@
         for_s: f64,
         #[serde(default)]
         #[garde(skip)]
-        mode: Cut,
+        mode: PartitionMode,
     }
     /// One-way partition: heartbeats of these machines arrive, while no response and no command
     /// reaches them.
@@ -382,7 +382,7 @@
         zone: String,
         #[serde(default)]
         #[garde(skip)]
-        mode: Cut,
+        mode: PartitionMode,
     }
     /// Jobs of a class are submitted `times` as often.
     JobBurst {
@@ -447,99 +447,99 @@
     Late,
 }
 
-impl Trouble {
+impl Fault {
     /// Returns the duration (s) of the fault; None if it is instantaneous.
     pub fn for_s(&self) -> Option<f64> {
-        use Trouble as T;
+        use Fault as F;
         match self {
-            T::NodeCrash(_) | T::NodeRoll(_) | T::MachineDie(_) | T::StateLimits(_) => None,
-            T::CancelNow(t) => t.hang_s,
-            T::NodeEnds(t) => Some(t.every_s * f64::from(t.times)),
-            T::SpotWave(t) => Some(t.over_s),
-            T::NodeFreeze(t) => Some(t.for_s),
-            T::NodeSlow(t) => Some(t.for_s),
-            T::NodeCut(t) => Some(t.for_s),
-            T::NodeRefused(t) => Some(t.for_s),
-            T::PeersRefuse(t) => Some(t.for_s),
-            T::StateOutage(t) => Some(t.for_s),
-            T::StateSlow(t) => Some(t.for_s),
-            T::StateBehind(t) => Some(t.for_s),
-            T::StateLoses(t) => Some(t.for_s),
-            T::LateWrites(t) => Some(t.for_s),
-            T::WatchLag(t) => Some(t.for_s),
-            T::CloudOutage(t) => Some(t.for_s),
-            T::CloudFull(t) => Some(t.for_s),
-            T::CloudLate(t) => Some(t.for_s),
-            T::CloudStale(t) => Some(t.for_s),
-            T::BootsLate(t) => Some(t.for_s),
-            T::MachineHang(t) => Some(t.for_s),
-            T::MachineSlow(t) => Some(t.for_s),
-            T::MachineFaulty(t) => Some(t.for_s),
-            T::MachineCut(t) => Some(t.for_s),
-            T::MachineDeaf(t) => Some(t.for_s),
-            T::MachineMute(t) => Some(t.for_s),
-            T::LateReports(t) => Some(t.for_s),
-            T::LateCommands(t) => Some(t.for_s),
-            T::CancelAtEnd(t) => Some(t.for_s),
-            T::OddRequests(t) => Some(t.for_s),
-            T::CloseLooks(t) => Some(t.for_s),
-            T::ZoneCut(t) => Some(t.for_s),
-            T::JobBurst(t) => Some(t.for_s),
-            T::PollStorm(t) => Some(t.for_s),
+            F::NodeCrash(_) | F::NodeRoll(_) | F::MachineDie(_) | F::StateLimits(_) => None,
+            F::CancelNow(t) => t.hang_s,
+            F::NodeEnds(t) => Some(t.every_s * f64::from(t.times)),
+            F::SpotWave(t) => Some(t.over_s),
+            F::NodeFreeze(t) => Some(t.for_s),
+            F::NodeSlow(t) => Some(t.for_s),
+            F::NodeCut(t) => Some(t.for_s),
+            F::NodeRefused(t) => Some(t.for_s),
+            F::PeersRefuse(t) => Some(t.for_s),
+            F::StateOutage(t) => Some(t.for_s),
+            F::StateSlow(t) => Some(t.for_s),
+            F::StateBehind(t) => Some(t.for_s),
+            F::StateLoses(t) => Some(t.for_s),
+            F::LateWrites(t) => Some(t.for_s),
+            F::WatchLag(t) => Some(t.for_s),
+            F::CloudOutage(t) => Some(t.for_s),
+            F::CloudFull(t) => Some(t.for_s),
+            F::CloudLate(t) => Some(t.for_s),
+            F::CloudStale(t) => Some(t.for_s),
+            F::BootsLate(t) => Some(t.for_s),
+            F::MachineHang(t) => Some(t.for_s),
+            F::MachineSlow(t) => Some(t.for_s),
+            F::MachineFaulty(t) => Some(t.for_s),
+            F::MachineCut(t) => Some(t.for_s),
+            F::MachineDeaf(t) => Some(t.for_s),
+            F::MachineMute(t) => Some(t.for_s),
+            F::LateReports(t) => Some(t.for_s),
+            F::LateCommands(t) => Some(t.for_s),
+            F::CancelAtEnd(t) => Some(t.for_s),
+            F::OddRequests(t) => Some(t.for_s),
+            F::CloseLooks(t) => Some(t.for_s),
+            F::ZoneCut(t) => Some(t.for_s),
+            F::JobBurst(t) => Some(t.for_s),
+            F::PollStorm(t) => Some(t.for_s),
         }
     }
 
     /// Returns the name of the fault in a scenario file.
     pub fn name(&self) -> &'static str {
-        use Trouble as T;
+        use Fault as F;
         match self {
-            T::NodeCrash(_) => "node_crash",
-            T::NodeRoll(_) => "node_roll",
-            T::NodeEnds(_) => "node_ends",
-            T::NodeFreeze(_) => "node_freeze",
-            T::NodeSlow(_) => "node_slow",
-            T::NodeCut(_) => "node_cut",
-            T::NodeRefused(_) => "node_refused",
-            T::PeersRefuse(_) => "peers_refuse",
-            T::StateOutage(_) => "state_outage",
-            T::StateSlow(_) => "state_slow",
-            T::StateBehind(_) => "state_behind",
-            T::StateLimits(_) => "state_limits",
-            T::StateLoses(_) => "state_loses",
-            T::LateWrites(_) => "late_writes",
-            T::WatchLag(_) => "watch_lag",
-            T::CloudOutage(_) => "cloud_outage",
-            T::CloudFull(_) => "cloud_full",
-            T::CloudLate(_) => "cloud_late",
-            T::CloudStale(_) => "cloud_stale",
-            T::BootsLate(_) => "boots_late",
-            T::MachineDie(_) => "machine_die",
-            T::MachineHang(_) => "machine_hang",
-            T::MachineSlow(_) => "machine_slow",
-            T::MachineFaulty(_) => "machine_faulty",
-            T::MachineCut(_) => "machine_cut",
-            T::MachineDeaf(_) => "machine_deaf",
-            T::MachineMute(_) => "machine_mute",
-            T::LateReports(_) => "late_reports",
-            T::LateCommands(_) => "late_commands",
-            T::CancelNow(_) => "cancel_now",
-            T::CancelAtEnd(_) => "cancel_at_end",
-            T::OddRequests(_) => "odd_requests",
-            T::CloseLooks(_) => "close_looks",
-            T::SpotWave(_) => "spot_wave",
-            T::ZoneCut(_) => "zone_cut",
-            T::JobBurst(_) => "job_burst",
-            T::PollStorm(_) => "poll_storm",
+            F::NodeCrash(_) => "node_crash",
+            F::NodeRoll(_) => "node_roll",
+            F::NodeEnds(_) => "node_ends",
+            F::NodeFreeze(_) => "node_freeze",
+            F::NodeSlow(_) => "node_slow",
+            F::NodeCut(_) => "node_cut",
+            F::NodeRefused(_) => "node_refused",
+            F::PeersRefuse(_) => "peers_refuse",
+            F::StateOutage(_) => "state_outage",
+            F::StateSlow(_) => "state_slow",
+            F::StateBehind(_) => "state_behind",
+            F::StateLimits(_) => "state_limits",
+            F::StateLoses(_) => "state_loses",
+            F::LateWrites(_) => "late_writes",
+            F::WatchLag(_) => "watch_lag",
+            F::CloudOutage(_) => "cloud_outage",
+            F::CloudFull(_) => "cloud_full",
+            F::CloudLate(_) => "cloud_late",
+            F::CloudStale(_) => "cloud_stale",
+            F::BootsLate(_) => "boots_late",
+            F::MachineDie(_) => "machine_die",
+            F::MachineHang(_) => "machine_hang",
+            F::MachineSlow(_) => "machine_slow",
+            F::MachineFaulty(_) => "machine_faulty",
+            F::MachineCut(_) => "machine_cut",
+            F::MachineDeaf(_) => "machine_deaf",
+            F::MachineMute(_) => "machine_mute",
+            F::LateReports(_) => "late_reports",
+            F::LateCommands(_) => "late_commands",
+            F::CancelNow(_) => "cancel_now",
+            F::CancelAtEnd(_) => "cancel_at_end",
+            F::OddRequests(_) => "odd_requests",
+            F::CloseLooks(_) => "close_looks",
+            F::SpotWave(_) => "spot_wave",
+            F::ZoneCut(_) => "zone_cut",
+            F::JobBurst(_) => "job_burst",
+            F::PollStorm(_) => "poll_storm",
         }
     }
 
     /// Whether the fault can be injected into real processes on loopback, where network paths
     /// cannot be partitioned and the processor cannot be slowed down.
-    pub fn on_loopback(&self) -> bool {
-        use Trouble as T;
+    pub fn can_run_on_loopback(&self) -> bool {
+        use Fault as F;
         !matches!(
             self,
-            T::NodeSlow(_) | T::NodeCut(_) | T::PeersRefuse(_) | T::MachineCut(_) | T::ZoneCut(_)
+            F::NodeSlow(_) | F::NodeCut(_) | F::PeersRefuse(_) | F::MachineCut(_) | F::ZoneCut(_)
         )
     }
 }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -6,15 +6,15 @@
 pub mod compound;
 pub mod deployment;
 pub mod draw;
+pub mod fault;
 pub mod file;
-pub mod trouble;
 pub mod workload;
 
 pub use compound::Compound;
 pub use deployment::{Aim, Deployment};
 pub use draw::{Draw, Fleet};
+pub use fault::{Fault, PartitionMode, Who};
 pub use file::FileError;
-pub use trouble::{Cut, Trouble, Who};
 pub use workload::{Class, Spread, Workload};
 
 use garde::Validate;
@@ -46,9 +46,10 @@
     #[garde(dive)]
     pub workload: Workload,
     /// Faults at set times; they may overlap.
+    // Named after its key in the file, because validation errors name the Rust field.
     #[serde(default)]
     #[garde(dive)]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
     /// Faults drawn from the seed.
     #[serde(default)]
     #[garde(dive)]
--- a/crates/scenario/tests/scenario.rs
+++ b/crates/scenario/tests/scenario.rs
@@ -93,16 +93,16 @@
 fn drawn_faults_depend_on_the_seed_alone_and_are_valid() {
     let text = "name: n\nplay_s: 300\ndrawn:\n  - {count: 5, from_s: 60, to_s: 200}\n";
     let scenario = Scenario::parse("n.yaml", text).unwrap();
-    let a = scenario.all_troubles(7);
+    let a = scenario.all_faults(7);
     assert_eq!(a.len(), 5);
-    assert_eq!(a, scenario.all_troubles(7));
-    assert_ne!(a, scenario.all_troubles(8));
+    assert_eq!(a, scenario.all_faults(7));
+    assert_ne!(a, scenario.all_faults(8));
     assert!(a.iter().all(|t| (60.0..200.0).contains(&t.at_s())));
     assert!(a.windows(2).all(|w| w[0].at_s() <= w[1].at_s()));
     // Each kind of fault is drawn by some seed, and is valid.
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..200 {
-        for t in scenario.all_troubles(seed) {
+        for t in scenario.all_faults(seed) {
             kinds.insert(t.name());
             let with = Scenario {
                 troubles: vec![t.clone()],
@@ -198,12 +198,11 @@
             "nothing remains to be drawn"
         );
         drawn.validate().unwrap_or_else(|e| panic!("{seed}: {e}"));
-        let troubles = &drawn.troubles;
-        assert!(troubles.len() >= 3, "{troubles:?}");
-        let is_near_election =
-            |t: &cherrywood_scenario::Trouble| (75.0..=130.0).contains(&t.at_s());
-        assert!(troubles.iter().all(is_near_election), "{troubles:?}");
-        names.extend(troubles.iter().map(|t| t.name()));
+        let faults = &drawn.troubles;
+        assert!(faults.len() >= 3, "{faults:?}");
+        let is_near_election = |t: &cherrywood_scenario::Fault| (75.0..=130.0).contains(&t.at_s());
+        assert!(faults.iter().all(is_near_election), "{faults:?}");
+        names.extend(faults.iter().map(|t| t.name()));
         controllers.insert(drawn.deployment.controllers);
     }
     assert_eq!(controllers, (2..=14).collect());
--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -126,7 +126,7 @@
         let out = drawn
             .troubles
             .iter()
-            .filter(|t| !t.on_loopback())
+            .filter(|t| !t.can_run_on_loopback())
             .map(|t| t.name());
         for name in out.collect::<std::collections::BTreeSet<_>>() {
             eprintln!("cherrywood: {name} can't be made with processes, and is left out");
--- a/crates/simulation/src/live.rs
+++ b/crates/simulation/src/live.rs
@@ -3,7 +3,7 @@
 
 use crate::play::{Scene, Verdict};
 use cherrywood_checker::What;
-use cherrywood_scenario::Trouble;
+use cherrywood_scenario::Fault;
 use ratatui::Frame;
 use ratatui::Terminal;
 use ratatui::backend::CrosstermBackend;
@@ -103,7 +103,7 @@
             fetching: n[3],
         });
         let now_s = world.now_s();
-        let all = world.scenario.all_troubles(world.seed);
+        let all = world.scenario.all_faults(world.seed);
         let next = all.iter().filter(|t| t.at_s() > now_s).take(NEXT_SHOWN);
         let (hourly, spent) = scene.cloud.spending();
         let (submitted, broken, last_breach) = world.inspect(|h, j| {
@@ -123,7 +123,7 @@
                 .map(|v| v.pending_tasks_by_level.clone())
                 .unwrap_or_default(),
             teams: leader.map(|v| v.team_cpus.clone()).unwrap_or_default(),
-            troubles_now: world.active_faults(|t: &Trouble| Some(t.name().to_string())),
+            troubles_now: world.active_faults(|t: &Fault| Some(t.name().to_string())),
             troubles_next: next.map(|t| (t.at_s(), t.name().to_string())).collect(),
             broken,
             last_breach,
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -4,7 +4,7 @@
 use crate::play::{Options, Outcome};
 use crate::search::quietly;
 use cherrywood_checker::Rule;
-use cherrywood_scenario::{Scenario, Trouble};
+use cherrywood_scenario::{Fault, Scenario};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -128,7 +128,7 @@
 }
 
 /// The same trouble for half as long, unless it is short already.
-fn shorter(trouble: &Trouble) -> Option<Trouble> {
+fn shorter(trouble: &Fault) -> Option<Fault> {
     let mut value = serde_json::to_value(trouble).ok()?;
     let fields = value.as_object_mut()?.values_mut().next()?;
     let mut any = false;
--- a/crates/simulation/tests/shrink.rs
+++ b/crates/simulation/tests/shrink.rs
@@ -1,6 +1,6 @@
 //! A scenario that fails is made as small as it can be while it still does.
 
-use cherrywood_scenario::{Scenario, Trouble};
+use cherrywood_scenario::{Fault, Scenario};
 use cherrywood_simulation::shrink::{self, Failure, Shrinker};
 use cherrywood_simulation::{Options, search};
 use std::sync::atomic::AtomicBool;
@@ -17,8 +17,8 @@
 
 /// Fails with an outage of 9 s or more and ends of a leader.
 fn fails(scenario: &Scenario) -> bool {
-    let outage = |t: &Trouble| matches!(t, Trouble::StateOutage(t) if t.for_s >= 9.0);
-    let ends = |t: &Trouble| matches!(t, Trouble::NodeEnds(_));
+    let outage = |t: &Fault| matches!(t, Fault::StateOutage(t) if t.for_s >= 9.0);
+    let ends = |t: &Fault| matches!(t, Fault::NodeEnds(_));
     scenario.troubles.iter().any(outage) && scenario.troubles.iter().any(ends)
 }
 
