--- a/crates/cherrywood/src/cli.rs
+++ b/crates/cherrywood/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: the daemon, a settings check, and a small client.
+//! The command line: the daemon, validation of settings, simulations and a minimal client.
 
 use anyhow::{Context as _, bail};
 use cherrywood_net::Runtime;
@@ -23,7 +23,7 @@
     /// Check the settings and exit.
     #[arg(long, requires = "config")]
     pub check: bool,
-    /// End when standard input does: whoever started this is gone then.
+    /// Exit when standard input is closed, that is when the parent process has ended.
     #[arg(long, requires = "config", hide = true)]
     pub until_stdin_ends: bool,
     #[command(subcommand)]
@@ -43,7 +43,7 @@
     Client(Request),
 }
 
-/// What a user asks of a running service.
+/// Requests of a user to a running service.
 #[derive(Debug, Subcommand)]
 pub enum Request {
     /// Submit the job described in a TOML file.
@@ -76,7 +76,7 @@
             Some(Vec::new()),
         ),
     };
-    let answer = HttpClient::new(&Runtime::native(), node)
+    let response = HttpClient::new(&Runtime::native(), node)
         .send(
             method,
             &path,
@@ -84,12 +84,12 @@
             cherrywood_limits::CLI_TIMEOUT_S,
         )
         .await?;
-    if !matches!(answer.status, 200 | 201) {
-        let why = cherrywood_wire::decode::<ErrorResponse>(&answer.body);
-        let why = why.map_or(String::new(), |r| format!(": {}", r.error));
-        bail!("status {}{why}", answer.status);
+    if !matches!(response.status, 200 | 201) {
+        let error = cherrywood_wire::decode::<ErrorResponse>(&response.body);
+        let reason = error.map_or(String::new(), |e| format!(": {}", e.error));
+        bail!("status {}{reason}", response.status);
     }
-    let job: JobStatus = cherrywood_wire::decode(&answer.body)?;
+    let job: JobStatus = cherrywood_wire::decode(&response.body)?;
     let state = match job.state {
         cherrywood_wire::user::JobState::Queued => "queued",
         cherrywood_wire::user::JobState::Running => "running",
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/fault.rs
@@ -1,35 +1,36 @@
-//! What can go wrong.
+//! Faults that a scenario injects at set times: into controllers, the key-value store, the cloud,
+//! machines, zones and the requests of users.
 
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Which controllers a trouble hits.
+/// Controllers that a fault affects.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Who {
-    /// The one that leads at that moment.
+    /// The controller that leads when the fault begins.
     Leader,
-    /// One that doesn't lead, drawn from the seed.
+    /// A controller that does not lead, drawn from the seed.
     Follower,
-    /// Any one, drawn from the seed.
+    /// Any controller, drawn from the seed.
     #[default]
     Any,
     All,
 }
 
-/// What becomes of packets on a broken path.
+/// Treatment of packets on a partitioned network path.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Cut {
-    /// Held back, and delivered in order when the path is whole again.
+pub enum PartitionMode {
+    /// Packets are held back, and delivered in order once the partition heals.
     #[default]
     Hold,
     /// Connections are reset.
     Reset,
 }
 
-/// What a controller is cut off from.
+/// Peers of a controller that a network partition separates it from.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema,
 )]
@@ -56,7 +57,7 @@
     Side::ALL.to_vec()
 }
 
-macro_rules! troubles {
+macro_rules! faults {
     ($(
         $(#[doc = $about:literal])*
         $(#[serde(alias = $old_name:literal)])?
@@ -64,10 +65,10 @@
             $( $(#[$field_meta:meta])* $field:ident : $ty:ty ),* $(,)?
         }
     )*) => {
-        /// A trouble; `at_s` counts from the beginning of the scenario.
+        /// A fault to inject; `at_s` counts from the beginning of the scenario.
         #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
         #[serde(rename_all = "snake_case", deny_unknown_fields)]
-        pub enum Trouble {
+        pub enum Fault {
             $(
                 $(#[doc = $about])*
                 $(#[serde(alias = $old_name)])?
@@ -86,31 +87,31 @@
             }
         )*
 
-        impl Trouble {
+        impl Fault {
             pub fn at_s(&self) -> f64 {
-                match self { $( Trouble::$name(t) => t.at_s, )* }
+                match self { $( Fault::$name(t) => t.at_s, )* }
             }
 
             pub fn set_at_s(&mut self, at_s: f64) {
-                match self { $( Trouble::$name(t) => t.at_s = at_s, )* }
+                match self { $( Fault::$name(t) => t.at_s = at_s, )* }
             }
         }
     };
 }
 
-troubles! {
-    /// Controllers are killed, and started again.
+faults! {
+    /// Controllers are killed and restarted.
     NodeCrash {
         #[serde(default)]
         #[garde(skip)]
         who: Who,
     }
-    /// All controllers are restarted, one after the other.
+    /// All controllers are restarted, one after the other (rolling restart).
     NodeRoll {
         #[garde(range(min = 0.5, max = 600.0))]
         every_s: f64,
     }
-    /// Controllers are killed again and again, started again in between.
+    /// Controllers are killed repeatedly, and restarted in between.
     NodeEnds {
         #[garde(range(min = 0.1, max = 600.0))]
         every_s: f64,
@@ -120,7 +121,7 @@
         #[garde(skip)]
         who: Who,
     }
-    /// Controllers stand still while their clocks run on.
+    /// Controller processes are paused while their clocks advance.
     NodeFreeze {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -128,33 +129,33 @@
         #[garde(skip)]
         who: Who,
     }
-    /// Controllers compute slower: whatever they do comes this much later.
+    /// Controllers compute more slowly: each of their steps is delayed by `lag_ms`.
     NodeSlow {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[serde(default)]
         #[garde(skip)]
         who: Who,
-        /// ms that each step is late, give or take half.
+        /// Delay (ms) of each step, plus or minus half of it.
         #[garde(range(min = 1.0, max = 10_000.0))]
         lag_ms: f64,
     }
-    /// Controllers lose the network, or a part of it.
+    /// Controllers are partitioned from the network, or from a part of it.
     NodeCut {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[serde(default)]
         #[garde(skip)]
         who: Who,
-        /// From whom; all if it isn't given.
+        /// Peers that become unreachable; all of them if not given.
         #[serde(default = "all_sides")]
         #[garde(length(min = 1))]
         from: Vec<Side>,
         #[serde(default)]
         #[garde(skip)]
-        mode: Cut,
+        mode: PartitionMode,
     }
-    /// The state service answers 503 to these controllers alone.
+    /// The key-value store responds 503 to these controllers only.
     NodeRefused {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -167,32 +168,32 @@
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// The state service answers 503 to all.
+    /// The key-value store responds 503 to every request.
     StateOutage {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// A share of its answers takes longer.
+    /// A share of the responses of the key-value store takes longer.
     StateSlow {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
-        /// ms that such an answer takes.
+        /// Time (ms) that such a response takes.
         #[garde(range(min = 1.0, max = 60_000.0))]
         ms: f64,
     }
-    /// It falls behind: only this share of its rates is left.
+    /// The capacity of the key-value store drops: only this share of its request rates is left.
     StateBehind {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.01, max = 1.0))]
         share: f64,
     }
-    /// From now on it has the limits of `deployment.state.next`; those that are not
-    /// given there stay.
+    /// The key-value store has the limits of `deployment.state.next` from this time on; limits
+    /// that are not given there stay.
     StateLimits {}
-    /// Answers of the state service are lost.
+    /// A share of the responses of the key-value store is lost.
     StateLoses {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -201,34 +202,34 @@
         #[serde(default)]
         #[garde(skip)]
         when: Lost,
-        /// s by which a late request is executed late.
-        #[serde(default = "late_s")]
+        /// Delay (s) after which a late request is executed.
+        #[serde(default = "default_late_s")]
         #[garde(range(min = 0.1, max = 600.0))]
         late_s: f64,
     }
-    /// A share of the transactions gets no answer and is executed 2 to 12 s later, after
-    /// newer ones.
+    /// A share of the transactions gets no response and is executed 2 to 12 s later, after
+    /// newer transactions.
     LateWrites {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
-        /// They are executed at once, and only their answers are lost.
+        /// The transactions are executed at once, and only their responses are lost.
         #[serde(default)]
         #[garde(skip)]
         at_once: bool,
     }
-    /// Watches are answered when this is over, while all else is served.
+    /// Watch requests get their response when this fault ends; all other requests are served.
     WatchLag {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// The cloud answers 503 to all.
+    /// The cloud responds 503 to every request.
     CloudOutage {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// It has no capacity left, anywhere or in a zone.
+    /// The cloud has no capacity left, in any zone or in the given one.
     CloudFull {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -236,8 +237,8 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// It executes a share of its requests late: a machine is granted, or
-    /// deleted, after the caller gave up.
+    /// The cloud executes a share of its requests late: a machine is granted or deleted after
+    /// the request of the caller timed out.
     CloudLate {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -246,14 +247,14 @@
         #[garde(range(min = 0.1, max = 600.0))]
         by_s: f64,
     }
-    /// Its machine list is this much older, and goes backwards.
+    /// The machine list of the cloud is older by `lag_s`, so that it goes back in time.
     CloudStale {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.1, max = 600.0))]
         lag_s: f64,
     }
-    /// Machines rented meanwhile boot late, or never.
+    /// Machines that are rented during this fault boot late, or never.
     BootsLate {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -268,7 +269,7 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// Machines stop, with all that is on them.
+    /// Machines stop, and everything on them is lost.
     MachineDie {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
@@ -276,14 +277,14 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// Machines stand still, and may go on later.
+    /// Machines hang, and may resume later.
     MachineHang {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// Machines run their tasks slower.
+    /// Machines run their tasks more slowly.
     MachineSlow {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
@@ -292,14 +293,14 @@
         #[garde(range(min = 1.0, max = 100.0))]
         times: f64,
     }
-    /// Machines fail every task that they start.
+    /// Every task that is started on these machines fails.
     MachineFaulty {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// Machines lose the network.
+    /// Machines are partitioned from the network.
     MachineCut {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
@@ -307,9 +308,10 @@
         for_s: f64,
         #[serde(default)]
         #[garde(skip)]
-        mode: Cut,
+        mode: PartitionMode,
     }
-    /// Machines whose reports arrive, and whom no answer and no command reaches.
+    /// One-way partition: heartbeats of these machines arrive, while no response and no command
+    /// reaches them.
     MachineDeaf {
         #[garde(range(min = 1, max = 100_000))]
         count: u32,
@@ -319,11 +321,13 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// Workers open no connection to any controller, while direct commands reach them.
+    /// One-way partition: workers cannot connect to any controller, while direct commands reach
+    /// them.
     MachineMute {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
-        /// How many; else `share` of them; else all, of the zone if one is given.
+        /// Number of workers; if not given, `share` of them, or else all; only workers of `zone`
+        /// if that is given.
         #[serde(default)]
         #[garde(inner(range(min = 1, max = 100_000)))]
         count: Option<u32>,
@@ -334,43 +338,43 @@
         #[garde(skip)]
         zone: Option<String>,
     }
-    /// Copies of a share of the reports arrive again, at any controller, from 2 s to well
-    /// over a lease later.
+    /// Duplicates of a share of the heartbeats arrive at any controller, from 2 s to well over a
+    /// lease later.
     #[serde(alias = "report_copies")]
     LateReports {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
-        /// s by which they are late at most, and at least none.
+        /// Maximum delay (s) of the duplicates; the minimum is then 0.
         #[serde(default)]
         #[garde(inner(range(min = 0.1, max = 600.0)))]
         late_s: Option<f64>,
-        /// They are kept until another controller leads, and then arrive there.
+        /// The duplicates are kept until another controller leads, and then arrive there.
         #[serde(default)]
         #[garde(skip)]
         for_next: bool,
     }
-    /// A share of the direct commands is held up on its way, unanswered, and carried out
-    /// 2 to 16 s late, if token and session still match.
+    /// A share of the direct commands is delayed on the network without a response, and executed
+    /// 2 to 16 s late if token and session still match.
     LateCommands {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
     }
-    /// A share of the spot machines is taken back.
+    /// A share of the spot machines is reclaimed by the cloud.
     SpotWave {
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
         #[garde(range(min = 0.0, max = 3600.0))]
         over_s: f64,
-        /// s of notice; 0 is none.
+        /// Notice (s) before a machine is reclaimed; 0 for none.
         #[serde(default)]
         #[garde(range(min = 0.0, max = 600.0))]
         notice_s: f64,
     }
-    /// A zone is cut off from everything; inside, it goes on.
+    /// A zone is partitioned from all others, while traffic inside it continues.
     ZoneCut {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -378,9 +382,9 @@
         zone: String,
         #[serde(default)]
         #[garde(skip)]
-        mode: Cut,
+        mode: PartitionMode,
     }
-    /// Jobs of a class come several times as often.
+    /// Jobs of a class are submitted `times` as often.
     JobBurst {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
@@ -389,153 +393,153 @@
         #[garde(range(min = 1.0, max = 100.0))]
         times: f64,
     }
-    /// Users ask many times as often.
+    /// Users send status queries `times` as often.
     PollStorm {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 1.0, max = 100.0))]
         times: f64,
     }
-    /// Users cancel this many jobs that run and have long to go, within 0.2 s.
+    /// Users cancel `count` running jobs with a long remaining run time, within 0.2 s.
     CancelNow {
         #[garde(range(min = 1, max = 10_000))]
         count: u32,
-        /// s for which up to eight machines with tasks of these jobs stand still.
+        /// Time (s) for which up to eight machines with tasks of these jobs hang.
         #[serde(default)]
         #[garde(inner(range(min = 0.1, max = 3600.0)))]
         hang_s: Option<f64>,
     }
-    /// Users cancel a share of the jobs at the moment at which their last task ends.
+    /// Users cancel a share of the jobs at the moment when their last task ends.
     CancelAtEnd {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
         #[garde(range(min = 0.0, max = 1.0))]
         share: f64,
     }
-    /// Users repeat submissions of unfinished jobs, cancel jobs that are done, and submit
-    /// jobs that fit no machine or lack a field.
+    /// Invalid and redundant requests: users repeat submissions of unfinished jobs, cancel jobs
+    /// that are done, and submit jobs that fit no machine or lack a field.
     OddRequests {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
-    /// Users ask at all controllers within milliseconds after a job was accepted, ended or
-    /// was cancelled.
+    /// Users send status queries to all controllers within milliseconds after a job was accepted,
+    /// ended or was cancelled.
     CloseLooks {
         #[garde(range(min = 0.1, max = 3600.0))]
         for_s: f64,
     }
 }
 
-fn late_s() -> f64 {
+fn default_late_s() -> f64 {
     5.0
 }
 
-/// When the answer of the state service is lost.
+/// Whether a request whose response is lost is executed by the key-value store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Lost {
-    /// The request was not executed.
+    /// The request is not executed.
     Before,
-    /// It was.
+    /// The request is executed.
     #[default]
     After,
-    /// It will be, later.
+    /// The request is executed later.
     Late,
 }
 
-impl Trouble {
-    /// s until it is over; None for a moment.
+impl Fault {
+    /// Returns the duration (s) of the fault; None if it is instantaneous.
     pub fn for_s(&self) -> Option<f64> {
-        use Trouble as T;
+        use Fault as F;
         match self {
-            T::NodeCrash(_) | T::NodeRoll(_) | T::MachineDie(_) | T::StateLimits(_) => None,
-            T::CancelNow(t) => t.hang_s,
-            T::NodeEnds(t) => Some(t.every_s * f64::from(t.times)),
-            T::SpotWave(t) => Some(t.over_s),
-            T::NodeFreeze(t) => Some(t.for_s),
-            T::NodeSlow(t) => Some(t.for_s),
-            T::NodeCut(t) => Some(t.for_s),
-            T::NodeRefused(t) => Some(t.for_s),
-            T::PeersRefuse(t) => Some(t.for_s),
-            T::StateOutage(t) => Some(t.for_s),
-            T::StateSlow(t) => Some(t.for_s),
-            T::StateBehind(t) => Some(t.for_s),
-            T::StateLoses(t) => Some(t.for_s),
-            T::LateWrites(t) => Some(t.for_s),
-            T::WatchLag(t) => Some(t.for_s),
-            T::CloudOutage(t) => Some(t.for_s),
-            T::CloudFull(t) => Some(t.for_s),
-            T::CloudLate(t) => Some(t.for_s),
-            T::CloudStale(t) => Some(t.for_s),
-            T::BootsLate(t) => Some(t.for_s),
-            T::MachineHang(t) => Some(t.for_s),
-            T::MachineSlow(t) => Some(t.for_s),
-            T::MachineFaulty(t) => Some(t.for_s),
-            T::MachineCut(t) => Some(t.for_s),
-            T::MachineDeaf(t) => Some(t.for_s),
-            T::MachineMute(t) => Some(t.for_s),
-            T::LateReports(t) => Some(t.for_s),
-            T::LateCommands(t) => Some(t.for_s),
-            T::CancelAtEnd(t) => Some(t.for_s),
-            T::OddRequests(t) => Some(t.for_s),
-            T::CloseLooks(t) => Some(t.for_s),
-            T::ZoneCut(t) => Some(t.for_s),
-            T::JobBurst(t) => Some(t.for_s),
-            T::PollStorm(t) => Some(t.for_s),
+            F::NodeCrash(_) | F::NodeRoll(_) | F::MachineDie(_) | F::StateLimits(_) => None,
+            F::CancelNow(t) => t.hang_s,
+            F::NodeEnds(t) => Some(t.every_s * f64::from(t.times)),
+            F::SpotWave(t) => Some(t.over_s),
+            F::NodeFreeze(t) => Some(t.for_s),
+            F::NodeSlow(t) => Some(t.for_s),
+            F::NodeCut(t) => Some(t.for_s),
+            F::NodeRefused(t) => Some(t.for_s),
+            F::PeersRefuse(t) => Some(t.for_s),
+            F::StateOutage(t) => Some(t.for_s),
+            F::StateSlow(t) => Some(t.for_s),
+            F::StateBehind(t) => Some(t.for_s),
+            F::StateLoses(t) => Some(t.for_s),
+            F::LateWrites(t) => Some(t.for_s),
+            F::WatchLag(t) => Some(t.for_s),
+            F::CloudOutage(t) => Some(t.for_s),
+            F::CloudFull(t) => Some(t.for_s),
+            F::CloudLate(t) => Some(t.for_s),
+            F::CloudStale(t) => Some(t.for_s),
+            F::BootsLate(t) => Some(t.for_s),
+            F::MachineHang(t) => Some(t.for_s),
+            F::MachineSlow(t) => Some(t.for_s),
+            F::MachineFaulty(t) => Some(t.for_s),
+            F::MachineCut(t) => Some(t.for_s),
+            F::MachineDeaf(t) => Some(t.for_s),
+            F::MachineMute(t) => Some(t.for_s),
+            F::LateReports(t) => Some(t.for_s),
+            F::LateCommands(t) => Some(t.for_s),
+            F::CancelAtEnd(t) => Some(t.for_s),
+            F::OddRequests(t) => Some(t.for_s),
+            F::CloseLooks(t) => Some(t.for_s),
+            F::ZoneCut(t) => Some(t.for_s),
+            F::JobBurst(t) => Some(t.for_s),
+            F::PollStorm(t) => Some(t.for_s),
         }
     }
 
-    /// Its name in a scenario file.
+    /// Returns the name of the fault in a scenario file.
     pub fn name(&self) -> &'static str {
-        use Trouble as T;
+        use Fault as F;
         match self {
-            T::NodeCrash(_) => "node_crash",
-            T::NodeRoll(_) => "node_roll",
-            T::NodeEnds(_) => "node_ends",
-            T::NodeFreeze(_) => "node_freeze",
-            T::NodeSlow(_) => "node_slow",
-            T::NodeCut(_) => "node_cut",
-            T::NodeRefused(_) => "node_refused",
-            T::PeersRefuse(_) => "peers_refuse",
-            T::StateOutage(_) => "state_outage",
-            T::StateSlow(_) => "state_slow",
-            T::StateBehind(_) => "state_behind",
-            T::StateLimits(_) => "state_limits",
-            T::StateLoses(_) => "state_loses",
-            T::LateWrites(_) => "late_writes",
-            T::WatchLag(_) => "watch_lag",
-            T::CloudOutage(_) => "cloud_outage",
-            T::CloudFull(_) => "cloud_full",
-            T::CloudLate(_) => "cloud_late",
-            T::CloudStale(_) => "cloud_stale",
-            T::BootsLate(_) => "boots_late",
-            T::MachineDie(_) => "machine_die",
-            T::MachineHang(_) => "machine_hang",
-            T::MachineSlow(_) => "machine_slow",
-            T::MachineFaulty(_) => "machine_faulty",
-            T::MachineCut(_) => "machine_cut",
-            T::MachineDeaf(_) => "machine_deaf",
-            T::MachineMute(_) => "machine_mute",
-            T::LateReports(_) => "late_reports",
-            T::LateCommands(_) => "late_commands",
-            T::CancelNow(_) => "cancel_now",
-            T::CancelAtEnd(_) => "cancel_at_end",
-            T::OddRequests(_) => "odd_requests",
-            T::CloseLooks(_) => "close_looks",
-            T::SpotWave(_) => "spot_wave",
-            T::ZoneCut(_) => "zone_cut",
-            T::JobBurst(_) => "job_burst",
-            T::PollStorm(_) => "poll_storm",
+            F::NodeCrash(_) => "node_crash",
+            F::NodeRoll(_) => "node_roll",
+            F::NodeEnds(_) => "node_ends",
+            F::NodeFreeze(_) => "node_freeze",
+            F::NodeSlow(_) => "node_slow",
+            F::NodeCut(_) => "node_cut",
+            F::NodeRefused(_) => "node_refused",
+            F::PeersRefuse(_) => "peers_refuse",
+            F::StateOutage(_) => "state_outage",
+            F::StateSlow(_) => "state_slow",
+            F::StateBehind(_) => "state_behind",
+            F::StateLimits(_) => "state_limits",
+            F::StateLoses(_) => "state_loses",
+            F::LateWrites(_) => "late_writes",
+            F::WatchLag(_) => "watch_lag",
+            F::CloudOutage(_) => "cloud_outage",
+            F::CloudFull(_) => "cloud_full",
+            F::CloudLate(_) => "cloud_late",
+            F::CloudStale(_) => "cloud_stale",
+            F::BootsLate(_) => "boots_late",
+            F::MachineDie(_) => "machine_die",
+            F::MachineHang(_) => "machine_hang",
+            F::MachineSlow(_) => "machine_slow",
+            F::MachineFaulty(_) => "machine_faulty",
+            F::MachineCut(_) => "machine_cut",
+            F::MachineDeaf(_) => "machine_deaf",
+            F::MachineMute(_) => "machine_mute",
+            F::LateReports(_) => "late_reports",
+            F::LateCommands(_) => "late_commands",
+            F::CancelNow(_) => "cancel_now",
+            F::CancelAtEnd(_) => "cancel_at_end",
+            F::OddRequests(_) => "odd_requests",
+            F::CloseLooks(_) => "close_looks",
+            F::SpotWave(_) => "spot_wave",
+            F::ZoneCut(_) => "zone_cut",
+            F::JobBurst(_) => "job_burst",
+            F::PollStorm(_) => "poll_storm",
         }
     }
 
-    /// Can it be made with real processes on loopback? Paths between them can't
-    /// be broken there, nor their processor be slowed.
-    pub fn on_loopback(&self) -> bool {
-        use Trouble as T;
+    /// Whether the fault can be injected into real processes on loopback, where network paths
+    /// cannot be partitioned and the processor cannot be slowed down.
+    pub fn can_run_on_loopback(&self) -> bool {
+        use Fault as F;
         !matches!(
             self,
-            T::NodeSlow(_) | T::NodeCut(_) | T::PeersRefuse(_) | T::MachineCut(_) | T::ZoneCut(_)
+            F::NodeSlow(_) | F::NodeCut(_) | F::PeersRefuse(_) | F::MachineCut(_) | F::ZoneCut(_)
         )
     }
 }
--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -129,7 +129,7 @@
         let omitted = drawn
             .troubles
             .iter()
-            .filter(|t| !t.on_loopback())
+            .filter(|t| !t.can_run_on_loopback())
             .map(|t| t.name());
         for name in omitted.collect::<std::collections::BTreeSet<_>>() {
             eprintln!("cherrywood: {name} cannot be injected with --processes and is left out");
--- a/crates/simulation/src/live.rs
+++ b/crates/simulation/src/live.rs
@@ -3,7 +3,7 @@
 
 use crate::run::{ObserverResult, RunView};
 use cherrywood_checker::What;
-use cherrywood_scenario::Trouble;
+use cherrywood_scenario::Fault;
 use ratatui::Frame;
 use ratatui::Terminal;
 use ratatui::backend::CrosstermBackend;
@@ -114,7 +114,7 @@
             fetching: n[3],
         });
         let now_s = world.now_s();
-        let faults = world.scenario.all_troubles(world.seed);
+        let faults = world.scenario.all_faults(world.seed);
         let upcoming = faults
             .iter()
             .filter(|t| t.at_s() > now_s)
@@ -138,7 +138,7 @@
                 .map(|v| v.pending_tasks_by_level.clone())
                 .unwrap_or_default(),
             teams: leader.map(|v| v.team_cpus.clone()).unwrap_or_default(),
-            active_faults: world.active_faults(|t: &Trouble| Some(t.name().to_string())),
+            active_faults: world.active_faults(|t: &Fault| Some(t.name().to_string())),
             upcoming_faults: upcoming.map(|t| (t.at_s(), t.name().to_string())).collect(),
             broken,
             last_violation,
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -4,7 +4,7 @@
 use crate::run::{Options, Outcome};
 use crate::search::run_silently;
 use cherrywood_checker::Rule;
-use cherrywood_scenario::{Scenario, Trouble};
+use cherrywood_scenario::{Fault, Scenario};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -133,7 +133,7 @@
 }
 
 /// Returns the fault with its lengths halved; none if they would fall below the minimum.
-fn shorter(fault: &Trouble) -> Option<Trouble> {
+fn shorter(fault: &Fault) -> Option<Fault> {
     let mut value = serde_json::to_value(fault).ok()?;
     let fields = value.as_object_mut()?.values_mut().next()?;
     let mut changed = false;
