--- a/crates/scenario/src/fault.rs
+++ b/crates/scenario/src/fault.rs
@@ -22,6 +22,7 @@
 /// Treatment of packets on a partitioned network path.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
+#[schemars(rename = "Cut")]
 pub enum PartitionMode {
     /// Packets are held back, and delivered in order once the partition heals.
     #[default]
@@ -68,6 +69,7 @@
         /// A fault to inject; `at_s` counts from the beginning of the scenario.
         #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
         #[serde(rename_all = "snake_case", deny_unknown_fields)]
+        #[schemars(rename = "Trouble")]
         pub enum Fault {
             $(
                 $(#[doc = $about])*
