--- a/crates/checker/src/rules.rs
+++ b/crates/checker/src/rules.rs
@@ -27,7 +27,7 @@
     unwanted_ms: Option<u64>,
     /// Time at which each finished task was done.
     done: BTreeMap<u32, u64>,
-    /// Machines that have each task, with the time since when.
+    /// The machines that each task is on, with the time of its start there, in ms.
     on_machines: BTreeMap<u32, Vec<(String, u64)>>,
     /// Time of the first status query in the current run of failed ones.
     failing_since_ms: Option<u64>,
--- a/crates/checker/src/rules/responses.rs
+++ b/crates/checker/src/rules/responses.rs
@@ -175,7 +175,8 @@
             .min()
     }
 
-    /// Whether its user, or the user of a job that it needs, wanted a cancellation by that time.
+    /// Whether the user of the job, or of a job that it needs directly or through others, wanted
+    /// a cancellation by that time.
     fn is_cancellation_wanted(&self, id: &str, at: u64) -> bool {
         let unwanted = |id: &str| {
             let tracked = self.jobs.get(id);
--- a/crates/checker/src/rules/starts.rs
+++ b/crates/checker/src/rules/starts.rs
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Finds a machine that the job does not allow, given its other tasks.
+    /// Checks whether the job allows a task on this machine, given its other tasks.
     fn wrong_place(
         &self,
         tracked: &TrackedJob,
--- a/crates/checker/src/starvation.rs
+++ b/crates/checker/src/starvation.rs
@@ -44,7 +44,8 @@
     pub share: f64,
     /// Name of the group: a class, its largest tenth, or a team.
     pub name: String,
-    /// Longest time until an accepted job of the largest tenths of all classes started, in s.
+    /// Longest time from when an accepted job of the largest tenths of all classes was ready to
+    /// its start, in s.
     pub longest_start_s: f64,
     /// Upper bound: the share that every class could have had on the machines that were up, if
     /// all sizes had been known and no CPU had ever been idle or waited for an image fetch.
@@ -59,7 +60,7 @@
     Team(&'a str),
 }
 
-/// Number of jobs that were wanted, and of those that were served.
+/// Number of jobs that were wanted, and how many of them were done (`served`).
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Share {
     pub wanted: usize,
@@ -67,7 +68,7 @@
 }
 
 impl Share {
-    /// Returns the served share; 1 if no job was wanted.
+    /// Returns the share of the jobs that were done; 1 if no job was wanted.
     pub fn value(self) -> f64 {
         if self.wanted == 0 {
             return 1.0;
--- a/crates/checker/src/unanswered.rs
+++ b/crates/checker/src/unanswered.rs
@@ -78,7 +78,8 @@
     }
 }
 
-/// Whether this status is conclusive about the job.
+/// Whether a response with this status is conclusive: it says something about the job, and not
+/// only that the request failed.
 fn is_conclusive(ask: Ask, status: u16) -> bool {
     match ask {
         Ask::Submit => matches!(status, 200 | 201 | 400 | 422),
