--- a/crates/emulator/src/fault_injection.rs
+++ b/crates/emulator/src/fault_injection.rs
@@ -16,8 +16,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Control over the controllers, implemented by the player of the scenario: as tasks in
-/// virtual time, or as processes.
+/// Control over the controllers, implemented by the simulation: as tasks in virtual time, or as
+/// processes.
 pub trait ControllerSupervisor: Send + Sync {
     fn start(&self, node: usize);
     fn kill(&self, node: usize);
--- a/crates/emulator/src/state_service.rs
+++ b/crates/emulator/src/state_service.rs
@@ -18,7 +18,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
-/// Additional delay of a slow response, ms.
+/// Additional delay of a slow response, ms: specified as "now and then a few hundred".
 const SLOW_MS: (f64, f64) = (100.0, 400.0);
 /// Most seconds by which a lease expiry may be late.
 const LEASE_LATE_S: f64 = 0.1;
@@ -322,7 +322,7 @@
     io::Error::new(e.kind(), format!("{at}: {e}"))
 }
 
-/// Draws the controllers that a fault hits.
+/// Draws the controllers that a fault hits; any one where there is no leader or no follower.
 pub(crate) fn draw_controllers(
     who: Who,
     leader: Option<usize>,
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -282,8 +282,8 @@
 
     // --- users ---
 
-    /// Arrivals of a class. Jobs and their times are drawn from streams of their own: the
-    /// same seed gives the same jobs, whatever the controllers do.
+    /// Submits the jobs of a class as they arrive. Jobs and their times are drawn from streams
+    /// of their own: the same seed gives the same jobs, whatever the controllers do.
     async fn arrivals(self: Arc<Self>, class: usize) {
         let c = self.world.scenario.workload.classes[class].clone();
         let mut rng = self.world.rng(&format!("arrivals of {}", c.name));
