--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -85,9 +85,9 @@
     pub key: String,
     pub cell: Cell,
     pub digest: String,
-    /// Rules broken.
+    /// Number of violations.
     pub broken: usize,
-    /// Jobs without a final state.
+    /// Number of jobs that did not settle.
     pub unsettled: usize,
     pub price: f64,
     /// Values of [`MEASURES`], by class.
@@ -106,7 +106,7 @@
                 all.join(", ")
             );
         }
-        // The scenario inside is checked as any other.
+        // The scenario in the experiment file is validated like any other scenario.
         let mut report = garde::Report::new();
         cherrywood_scenario::check::check(&e.scenario, &mut report);
         if let Some((path, why)) = report.iter().next() {
--- a/crates/simulation/src/live.rs
+++ b/crates/simulation/src/live.rs
@@ -45,10 +45,10 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FleetRow {
     pub pool: String,
-    /// Machines.
+    /// Number of machines that boot, and of those that are up.
     pub booting: usize,
     pub up: usize,
-    /// Tasks.
+    /// Number of tasks that run, and of those that wait for an image fetch.
     pub running: usize,
     pub fetching: usize,
 }
@@ -67,9 +67,9 @@
     /// Name, CPUs in use and CPU limit of each team.
     pub teams: Vec<(String, f64, f64)>,
     pub active_faults: Vec<String>,
-    /// Start (s) and name of each.
+    /// Start, s, and name of each fault that has yet to begin, at most `UPCOMING_SHOWN`.
     pub upcoming_faults: Vec<(f64, String)>,
-    /// Rules broken so far.
+    /// Number of violations so far.
     pub broken: usize,
     pub last_violation: Option<String>,
     pub submitted: usize,
--- a/crates/simulation/src/nodes.rs
+++ b/crates/simulation/src/nodes.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Returns a limit, where 0 or less means that there is none.
+/// Returns the limit, or infinity if it is 0 or less, which means no limit.
 fn limit_or_infinity(limit: f64) -> f64 {
     if limit > 0.0 { limit } else { f64::INFINITY }
 }
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Returns the status of a controller; none if it is down.
+    /// Returns the status of a controller; `None` if it is down.
     pub fn status(&self, node: usize) -> Option<NodeStatus> {
         let node = lock(&lock(&self.slots)[node].node).upgrade();
         node.map(|n| n.status())
--- a/crates/simulation/src/plot.rs
+++ b/crates/simulation/src/plot.rs
@@ -152,8 +152,8 @@
     classes
 }
 
-/// Plots the boots of machines and the tasks on them over time; none if there is no machine or
-/// more than [`MAX_GANTT_MACHINES`].
+/// Plots the boots of machines and the tasks on them over time; `None` if there is no machine
+/// or more than [`MAX_GANTT_MACHINES`].
 fn gantt(t: &Timeline) -> Option<String> {
     let mut machines: Vec<&str> = t.bars.iter().map(|b| b.machine.as_str()).collect();
     machines.sort_unstable();
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -29,7 +29,7 @@
     /// Reason for which the run ended early.
     pub stopped: Option<String>,
     pub good: bool,
-    /// Number of jobs, by final state.
+    /// Number of jobs, by outcome.
     pub jobs: BTreeMap<&'static str, usize>,
     pub unsettled: Vec<String>,
     /// Violations of the rules.
@@ -43,9 +43,9 @@
     pub classes: BTreeMap<String, ClassReport>,
     /// Every class and every team.
     pub groups: Vec<GroupReport>,
-    /// Jobs left waiting beside free capacity between faults.
+    /// Jobs left waiting although there was capacity, between faults.
     pub earlier_waits: usize,
-    /// Tasks started after the cancellation of their job was acknowledged.
+    /// Tasks that came onto machines after their user was told that the job is cancelled.
     pub starts_after_cancel: u64,
     pub least: Option<LeastServedReport>,
     pub aims: Vec<AimResult>,
@@ -83,8 +83,8 @@
     /// The same for the largest tenth of the jobs of a class.
     pub largest_served: Option<f64>,
     pub largest_wanted: Option<usize>,
-    /// Longest time, s, that a job waited beside free capacity while no fault was active, and
-    /// longest time in which no status query about an accepted job got a response.
+    /// Longest wait of a job although there was capacity, while no fault was active, s; and
+    /// longest time in which no request about an accepted job got a conclusive response, s.
     pub longest_wait_beside_room_s: f64,
     pub longest_without_answer_s: f64,
 }
@@ -112,11 +112,12 @@
     pub name: String,
     pub share: f64,
     pub bound: f64,
-    /// s until the last accepted job of the largest tenths of all classes started.
+    /// Longest time from when an accepted job of the largest tenths of all classes was ready to
+    /// its start, s.
     pub longest_start_s: f64,
 }
 
-/// An aim of the deployment, with the value that was reached.
+/// An objective of the deployment, with the value that was reached.
 #[derive(Debug, Serialize)]
 pub struct AimResult {
     pub aim: String,
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -20,8 +20,8 @@
 const SAMPLE_INTERVAL_S: f64 = 0.25;
 /// s between two records of the waiting tasks in the history.
 const WAITING_INTERVAL_S: f64 = 5.0;
-/// Quiet period, s: a run ends when no job has been open for this long, so that late
-/// responses are still received.
+/// Time without an open job, after the end of play, until a run ends, s: late responses are
+/// still received meanwhile.
 const QUIET_PERIOD_S: f64 = 3.0;
 
 #[derive(Debug, Clone, Default)]
@@ -49,7 +49,7 @@
 }
 
 impl Controllers {
-    /// Returns the status of a controller; none if it is down or runs as a process.
+    /// Returns the status of a controller; `None` if it is down or runs as a process.
     pub fn status(&self, node: usize) -> Option<NodeStatus> {
         match self {
             Controllers::InProcess(all) => all.status(node),
@@ -82,10 +82,10 @@
     pub failures: Vec<Failure>,
     /// Figures of each class and team.
     pub groups: Vec<GroupFigures>,
-    /// Jobs left waiting beside free capacity before the last fault ended; not a violation.
+    /// Jobs left waiting although there was capacity before the last fault was over; these are
+    /// no violations.
     pub earlier_waits: Vec<Wait>,
-    /// Tasks that were started on machines after the cancellation of their job was
-    /// acknowledged.
+    /// Tasks that came onto machines after their user was told that the job is cancelled.
     pub starts_after_cancel: u64,
     /// The class or team served least, if the scenario asks for it.
     pub least: Option<LeastServed>,
@@ -103,7 +103,7 @@
 }
 
 impl Outcome {
-    /// Returns the number of jobs without a final state.
+    /// Returns the number of jobs that did not settle.
     pub fn unsettled(&self) -> usize {
         let open = |s: &&Settled| s.end == cherrywood_checker::End::Unsettled;
         self.settled.values().filter(open).count()
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -25,7 +25,7 @@
     Broken(Rule),
     /// A controller exited by itself.
     Ended,
-    /// A job has no final state.
+    /// A job did not settle.
     Unsettled,
 }
 
@@ -132,7 +132,7 @@
     }
 }
 
-/// Returns the fault with its lengths halved; none if they would fall below the minimum.
+/// Returns the fault with its lengths halved; `None` if they would fall below the minimum.
 fn shorter(fault: &Trouble) -> Option<Trouble> {
     let mut value = serde_json::to_value(fault).ok()?;
     let fields = value.as_object_mut()?.values_mut().next()?;
--- a/crates/simulation/src/summary.rs
+++ b/crates/simulation/src/summary.rs
@@ -10,7 +10,7 @@
 /// Entries listed at most, for each of failures, violations and unsettled jobs.
 const MAX_LISTED: usize = 10;
 
-/// Returns the description of an aim and the value that it asks for.
+/// Returns the description of an objective and the value that it asks for.
 pub fn aim(a: &Aim) -> (String, f64) {
     match a {
         Aim::Wait {
--- a/crates/simulation/src/timeline.rs
+++ b/crates/simulation/src/timeline.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Point {
     pub at_s: f64,
-    /// Machines.
+    /// Number of machines that boot, and of those that are up.
     pub booting: u32,
     pub up: u32,
     /// CPUs of machines that are up, and of tasks that run on them.
@@ -46,7 +46,7 @@
     pub machine: String,
     pub from_s: f64,
     pub to_s: f64,
-    /// Class of the task; none while the machine boots.
+    /// Class of the task; `None` while the machine boots.
     pub class: Option<String>,
 }
 
@@ -77,7 +77,7 @@
 struct Machine {
     cpus: f64,
     hourly: f64,
-    /// Key of its account.
+    /// Key of the machine's account in `Timeline::account`.
     account: String,
     /// Times of the rental and of the end of the boot, ms.
     rented: u64,
@@ -99,7 +99,7 @@
     let step = ((end as f64 / 1000.0 / MAX_POINTS).ceil().max(1.0) * 1000.0) as u64;
     // CPUs, price and spot price of each machine type.
     let mut machine_types: BTreeMap<String, (f64, f64, f64)> = BTreeMap::new();
-    // CPUs of a task, and class.
+    // CPUs per task, and class, of each job.
     let mut jobs: BTreeMap<&str, (f64, &str)> = BTreeMap::new();
     let mut accepted: BTreeMap<&str, bool> = BTreeMap::new();
     let mut machines: BTreeMap<&str, Machine> = BTreeMap::new();
