--- a/crates/checker/src/placement.rs
+++ b/crates/checker/src/placement.rs
@@ -49,7 +49,8 @@
     spot.then(|| "its job doesn't allow spot machines".to_string())
 }
 
-/// Returns since when another task is in another zone although all must be in one zone.
+/// Returns since when another task has been in another zone, and why that is wrong, if all tasks
+/// must be in one zone.
 fn in_another_zone(job: &Job, place: &Place, others: &[Placed]) -> Option<(u64, String)> {
     let elsewhere = |other: &&Placed| other.zone != Some(place.zone.as_str());
     let other = others.iter().find(elsewhere).filter(|_| job.one_zone)?;
