--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -132,7 +132,8 @@
     }
 }
 
-/// Returns the fault with its lengths halved; `None` if they would fall below the minimum.
+/// Returns the fault with each length halved whose half is at least `MIN_LENGTH`; `None` if there
+/// is no such length.
 fn shorter(fault: &Trouble) -> Option<Trouble> {
     let mut value = serde_json::to_value(fault).ok()?;
     let fields = value.as_object_mut()?.values_mut().next()?;
