--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -25,7 +25,7 @@
     Broken(Rule),
     /// A controller exited by itself.
     Ended,
-    /// A job has no final state.
+    /// A job did not settle.
     Unsettled,
 }
 
@@ -132,7 +132,8 @@
     }
 }
 
-/// Returns the fault with its lengths halved; none if they would fall below the minimum.
+/// Returns the fault with each length halved whose half is at least `MIN_LENGTH`; `None` if there
+/// is no such length.
 fn shorter(fault: &Fault) -> Option<Fault> {
     let mut value = serde_json::to_value(fault).ok()?;
     let fields = value.as_object_mut()?.values_mut().next()?;
