--- a/crates/control/tests/admission.rs
+++ b/crates/control/tests/admission.rs
@@ -111,8 +111,9 @@
     assert!(flood >= 28, "{flood} of the flood");
 }
 
-/// Without minimum shares, a large low-priority array could wait for as long as smaller
-/// high-priority jobs keep arriving.
+/// In the order of priorities alone, a large low-priority array would wait for as long as smaller
+/// high-priority jobs keep arriving. Minimum shares are off here; the array must get its first
+/// task within 150 s nevertheless.
 #[test]
 fn a_large_low_priority_array_begins_within_four_minutes_while_high_priority_jobs_arrive() {
     let mut settings = settings();
--- a/crates/control/tests/crossing_commands.rs
+++ b/crates/control/tests/crossing_commands.rs
@@ -190,8 +190,8 @@
     }
 }
 
-/// Holds also on a machine whose newest heartbeat is of another incarnation than the placement:
-/// the shard lease is not extended before the stop is acknowledged.
+/// Work of an ended job is stopped also on a machine whose newest heartbeat is of another
+/// incarnation than the placement: the shard lease is not extended before the stop is acknowledged.
 #[test]
 fn work_of_an_ended_job_is_stopped_whatever_incarnation_it_was_placed_in() {
     let mut cluster = TestCluster::new();
@@ -260,8 +260,8 @@
     );
 }
 
-/// The command arrives after the worker has seen a token of the new leader, and is rejected, or
-/// before, and starts the task that the ledger places there. The task runs once, and its
+/// The late command arrives after the worker has seen a token of the new leader, and is rejected,
+/// or before, and starts the task that the ledger places there. The task runs once, and its
 /// cancellation stops it.
 #[test]
 fn a_late_command_of_a_deposed_leader_is_fenced_or_runs_the_recovered_placement() {
--- a/crates/control/tests/new_machines.rs
+++ b/crates/control/tests/new_machines.rs
@@ -1,6 +1,7 @@
 //! Machines that are up within two seconds of their rental and are given tasks at once, while
-//! ledger writes are delayed or lose their responses, and the leader fails. The next leader knows
-//! the tasks that may run there, or there are none, although no list names the machine yet.
+//! ledger writes are delayed or lose their responses, and the leader fails. Either the next leader
+//! knows the tasks that may run there, or no task runs there, although no list names the machine
+//! yet.
 
 mod common;
 
@@ -182,7 +183,8 @@
     }
 }
 
-/// The machine sends a heartbeat to the next leader, which does not know it, and is used.
+/// The machine sends a heartbeat to the next leader, which does not know the machine and must
+/// then use it.
 #[test]
 fn a_new_machine_known_only_to_the_previous_leader_is_adopted() {
     for fate in WRITE_FATES {
@@ -205,7 +207,7 @@
     }
 }
 
-/// Two successive leaders fail like that, each after a machine that it rented was up at once.
+/// Two successive leaders fail, each after a machine that it rented was up at once.
 #[test]
 fn tasks_on_new_machines_of_two_successive_leaders_stay_within_the_quota() {
     for (first, second) in WRITE_FATES
--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -161,7 +161,8 @@
     let batch = leader.job_batch(true, 1.0).unwrap();
     let outcome = store.apply(&batch.txn);
     assert!(batch.has_final_states() && matches!(outcome, WriteOutcome::Applied(_)));
-    // Counted as queued for half of the time, and then not at all until its final state is written.
+    // The job is reported as queued for half of the time, and then without counts until its final
+    // state is written.
     assert_eq!(leader.task_counts(&many[999], 2.0), Some((0, 0)));
     assert_eq!(leader.task_counts(&many[999], 30.0), Some(COUNTS_WITHHELD));
     // The leader fails here, in the middle of the cancellations.
@@ -177,7 +178,8 @@
         assert_eq!(store.final_state(id), Some(JobState::Cancelled), "{id}");
     }
     assert_eq!(leader.live_job_ids(), vec!["wk-000009".to_string()]);
-    // Jobs that name a cancelled job after its cancellation, and after that was forgotten.
+    // Jobs that depend on a cancelled job are submitted after its cancellation, and after the
+    // leader has forgotten that.
     submit(
         &mut leader,
         &mut store,
@@ -277,7 +279,7 @@
     );
 }
 
-/// The release in production ignores the fields of a job record that it doesn't know, and finds a
+/// The version in production ignores the fields of a job record that it doesn't know, and finds a
 /// job that no machine type is allowed to run.
 #[test]
 fn the_release_in_production_reads_a_waiting_job_as_one_that_fits_no_machine() {
@@ -326,7 +328,7 @@
     own.cloned().collect()
 }
 
-/// The release in production writes the progress of the largest array as one value. Once the
+/// The version in production writes the progress of the largest array as one value. Once the
 /// limits are lower the progress is written in parts, and every new leader reads all of them, also
 /// after an incomplete rewrite.
 #[test]
@@ -401,7 +403,7 @@
 }
 
 /// Ledger entries fit the smaller value size from the start, several in a transaction. A new
-/// leader recovers the same placements as from large entries, and entries of the release in
+/// leader recovers the same placements as from large entries, and entries of the version in
 /// production are written again in the smaller size.
 #[test]
 fn ledger_entries_within_the_smaller_value_size_hold_the_same_placements() {
@@ -424,7 +426,7 @@
         leader.place_pending(now);
         write_all_at(leader, store, now);
     };
-    // Entries of the release in production, of today's size.
+    // Entries of the version in production, of today's size.
     place(&mut leader, &mut store, 1000, 1.0);
     let big = store
         .records
@@ -447,7 +449,8 @@
     assert!(entries > big + 5, "{entries}");
     let mut leader = store.elect(3, 4.0);
     assert_eq!(leader.placements_held(), held);
-    // Freed placements leave the ledger, within the same number of changes per transaction.
+    // Freed placements are removed from the ledger, within the same number of changes per
+    // transaction.
     leader.set_store_limits(small);
     let names: Vec<String> = (1000..3000).map(|n| format!("vm-{n:06}")).collect();
     leader.machines_deleted(&names, 5.0);
--- a/crates/control/tests/recovered_accounting.rs
+++ b/crates/control/tests/recovered_accounting.rs
@@ -37,7 +37,7 @@
     names.flatten().collect()
 }
 
-/// How the leaders that follow lose the machine with the old tasks.
+/// How the machine with the old tasks is lost to the leaders that follow.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Lost {
     Silent,
--- a/crates/control/tests/restarted_controllers.rs
+++ b/crates/control/tests/restarted_controllers.rs
@@ -108,7 +108,8 @@
     cluster.leader.audit().unwrap();
 }
 
-/// Holds however few of each a term issues, and although the same controller leads all terms.
+/// Tokens, attempt numbers, rental ids and ledger keys of different terms are never equal, however
+/// few of each a term issues and although the same controller leads all terms.
 #[test]
 fn tokens_attempts_rentals_and_ledger_entries_of_successive_terms_never_collide() {
     let mut cluster = TestCluster::new();
--- a/crates/control/tests/silent_machines.rs
+++ b/crates/control/tests/silent_machines.rs
@@ -111,7 +111,8 @@
     cluster.leader.audit().unwrap();
 }
 
-/// The stop is sent every few heartbeat intervals, and not more often, while there is no response.
+/// While a direct stop gets no response it is sent again every few heartbeat intervals, and not
+/// more often.
 #[test]
 fn a_direct_stop_to_a_silent_machine_is_repeated() {
     let (mut cluster, _) = TestCluster::with_running_job(2);
@@ -126,8 +127,8 @@
     assert!((3..=5).contains(&sent), "{sent}");
 }
 
-/// The machine's placements are freed and its shard lease ends at the same times as without the
-/// responses.
+/// A silent machine that responds to direct commands has its placements freed and its shard lease
+/// ended at the same times as one that does not respond.
 #[test]
 fn responses_to_direct_commands_extend_no_lease() {
     let freed_and_unleased_at = |has_responses: bool| {
--- a/crates/control/tests/stale_heartbeats.rs
+++ b/crates/control/tests/stale_heartbeats.rs
@@ -72,8 +72,8 @@
     }
 }
 
-/// By then the new leader has stopped, placed and freed tasks. The heartbeat frees no placement,
-/// restores none, and gets no shard lease for its machine.
+/// The heartbeat arrives after the new leader has stopped, placed and freed tasks. It frees no
+/// placement, restores none, and gets no shard lease for its machine.
 #[test]
 fn a_heartbeat_delayed_until_a_new_leader_has_acted_changes_nothing() {
     let (mut cluster, mut worker, _) = machine_with_four_tasks(1);
@@ -303,8 +303,8 @@
     cluster.leader.audit().unwrap();
 }
 
-/// The response is the newest status of the worker and undoes nothing. Neither does a response
-/// that arrives after a newer heartbeat or without a query.
+/// The response to the status query is the newest status of the worker and undoes nothing.
+/// Neither does a response that arrives after a newer heartbeat or without a query.
 #[test]
 fn a_status_query_to_a_worker_that_did_not_restart_changes_nothing() {
     let (mut cluster, mut worker, _) = machine_with_four_tasks(1);
--- a/crates/control/tests/starvation.rs
+++ b/crates/control/tests/starvation.rs
@@ -167,7 +167,7 @@
         "without a task for so many s: {:?}",
         team.waiting_times.longest
     );
-    // No part of the quota is kept idle for that.
+    // No part of the quota is kept idle to protect jobs from starvation.
     assert!(least_used >= QUOTA_CPUS - 2.0, "{least_used} CPUs used");
 }
 
--- a/crates/control/tests/team_quotas.rs
+++ b/crates/control/tests/team_quotas.rs
@@ -154,7 +154,8 @@
     }
 }
 
-/// The machine's heartbeats arrive, so it is heard; the responses do not, so its task runs on.
+/// The machine's heartbeats arrive, so it does not count as silent; no response reaches it, so its
+/// cancelled task runs on.
 #[test]
 fn a_cancelled_task_on_a_machine_without_responses_counts_until_its_lease_is_over() {
     for team in ["by_cpus", "by_gpus"] {
--- a/crates/control/tests/unacknowledged_commands.rs
+++ b/crates/control/tests/unacknowledged_commands.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Such a machine would be given tasks for as long as it sends heartbeats, and lose them at each
-/// lease expiry.
+/// A machine that receives no responses would be given tasks for as long as it sends heartbeats,
+/// and lose them at each lease expiry.
 #[test]
 fn a_machine_that_receives_no_responses_takes_no_more_work_and_is_replaced() {
     let mut cluster = TestCluster::new();
--- a/crates/node/tests/answer_consistency.rs
+++ b/crates/node/tests/answer_consistency.rs
@@ -29,8 +29,8 @@
 
 // --- responses are never older than confirmed changes ---
 
-/// While the leader was slow to return task counts, the state in the response was as old as the
-/// request to the key-value store, which was sent at the same time.
+/// Guards against a response whose state is as old as the request to the key-value store, which is
+/// sent together with the request for task counts, while the leader is slow to return the counts.
 #[test]
 fn cancellation_confirmed_while_the_leader_is_asked_is_reported() {
     run(async {
--- a/crates/node/tests/compound_failures.rs
+++ b/crates/node/tests/compound_failures.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// While the chunks of a submission could not be read, all later changes, cancellations included,
-/// did not reach the leader, although its lease was renewed.
+/// Guards against a submission whose chunks can't be read and which keeps all later changes,
+/// cancellations included, from the leader, although its lease is renewed.
 #[test]
 fn unreadable_submission_does_not_delay_cancellations() {
     run(async {
@@ -126,8 +126,8 @@
     });
 }
 
-/// A new leader read all jobs during recovery and again for its watch, in the seconds in which
-/// every worker sends it a heartbeat.
+/// Guards against a new leader that reads all jobs twice, during recovery and again for its watch,
+/// in the seconds in which every worker sends it a heartbeat.
 #[test]
 fn failover_reads_all_jobs_once_and_the_watch_continues_from_there() {
     run(async {
--- a/crates/node/tests/dependencies.rs
+++ b/crates/node/tests/dependencies.rs
@@ -86,8 +86,8 @@
     });
 }
 
-/// The response to a submission whose dependency was cancelled said queued, long after the user
-/// had been told of the cancellation.
+/// Guards against a response that reports a submission with a cancelled dependency as queued, long
+/// after the user was told of the cancellation.
 #[test]
 fn job_that_depends_on_a_cancelled_one_is_accepted_as_cancelled() {
     run(async {
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -39,7 +39,8 @@
     contact.peers_last_response_at = 9.0;
     assert!(contact.is_ready(13.1), "outage for all controllers");
     // A controller that is cut off from the key-value store and from its peers, but not from users
-    // and workers, took that for an outage, and responded to users with 503 for as long.
+    // and workers, must not take that for an outage: it would respond to users with 503 for as
+    // long as that lasts.
     contact.peer_last_heard_at = 9.0;
     assert!(!contact.is_ready(13.1), "only this controller is cut off");
     contact.is_sole_controller = true;
@@ -75,8 +76,9 @@
     unready
 }
 
-/// From 3 s to 6 s of every outage each controller took its peers' last hellos for contact with
-/// the key-value store: the load balancer took out all controllers, for longer each time.
+/// Guards against controllers that, from 3 s to 6 s of an outage, take their peers' last hellos for
+/// contact with the key-value store: the load balancer would take out all controllers, for longer
+/// each time.
 #[test]
 fn outage_for_all_leaves_every_controller_ready() {
     for gap_s in [0.0, 0.2, 0.4, 0.6, 0.8] {
--- a/crates/node/tests/recovery.rs
+++ b/crates/node/tests/recovery.rs
@@ -141,7 +141,8 @@
     matches!(command, Command::Stop { .. })
 }
 
-/// An accepted job whose record a controller could not read was taken for a job that is over.
+/// Guards against a controller that takes an accepted job whose record it can't read for a job that
+/// is over.
 #[test]
 fn tasks_of_a_job_whose_record_cannot_be_read_are_not_stopped() {
     run(async {
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -53,8 +53,8 @@
     assert_eq!(larger, (200.0, 80.0, 32 * 1024, 16));
 }
 
-/// A guest team has no guarantee and no limit. When a limit of 0 was taken literally, every job of
-/// the guest team was refused with 422.
+/// A guest team has no guarantee and no limit. If a limit of 0 were taken literally, every job of
+/// the guest team would be refused with 422.
 #[test]
 fn team_limit_of_zero_or_none_is_unlimited() {
     for (given, want) in [
--- a/crates/node/tests/stalled_process.rs
+++ b/crates/node/tests/stalled_process.rs
@@ -13,8 +13,8 @@
 use common::{example, request, run, types};
 use std::sync::Arc;
 
-/// A shard owner that was cut off from a leader that others reached kept its workers until its
-/// shard leases expired; meanwhile the leader deleted their machines.
+/// Guards against a shard owner that is cut off from a leader that others reach and keeps its
+/// workers until its shard leases expire; meanwhile the leader would delete their machines.
 #[test]
 fn unreachable_leader_that_the_store_still_names_means_partition() {
     let is_partitioned = |named_s_ago: f64, responded_s_ago: f64| {
@@ -120,7 +120,7 @@
     assert_eq!((response.status, response.retry_after_s), (503, Some(1)));
 }
 
-/// The shard leases of a shard owner expired while it was stalled.
+/// The shard leases of a shard owner expire while it is stalled.
 #[test]
 fn shard_owner_stalled_past_its_leases_responds_to_no_heartbeat() {
     let node = example();
@@ -143,8 +143,8 @@
     assert_eq!(send_heartbeat().status, 503);
 }
 
-/// A response of an earlier term once reached a new leader on the same controller, whose job
-/// indices differ.
+/// Guards against a response of an earlier term that reaches a new leader on the same controller,
+/// whose job indices differ.
 #[test]
 fn response_of_an_earlier_term_finds_no_leader() {
     let node = example();
--- a/crates/node/tests/status_queries.rs
+++ b/crates/node/tests/status_queries.rs
@@ -36,8 +36,8 @@
     assert_eq!(sizes, [4, 4, 2, 0]);
 }
 
-/// Repeated queries concern more jobs than the comparisons can hold. The job whose id sorts last
-/// was never looked up, and so it was forgotten.
+/// Repeated queries concern more jobs than the comparisons can hold. Guards against a job that is
+/// never looked up because its id sorts last, and so is forgotten.
 #[test]
 fn overloaded_queue_serves_every_job_in_its_turn() {
     let queue = StatusQueryQueue::default();
@@ -210,8 +210,8 @@
     })
 }
 
-/// When users sent eight times as many queries, a read for each query used up the whole request
-/// rate: submissions and placements were refused by the hundred.
+/// Guards against a read for each query: when users send eight times as many queries, these reads
+/// use up the whole request rate, and submissions and placements are refused by the hundred.
 #[test]
 fn concurrent_queries_share_one_store_request() {
     let mut jobs: Vec<u32> = (0..60).chain(0..60).collect();
@@ -287,8 +287,8 @@
     assert_eq!(requests, 1);
 }
 
-/// When a response of the store was lost, every query of its batch got 503 after 0.9 s, and a job
-/// that had waited through an outage was forgotten (scenarios/long/forgotten-98.yaml).
+/// Guards against a lost response of the store that gives every query of its batch 503 after 0.9 s,
+/// so that a job that waited through an outage is forgotten (scenarios/long/forgotten-98.yaml).
 #[test]
 fn queries_get_responses_in_time_though_the_stores_first_response_is_lost() {
     let began = std::time::Instant::now();
