--- a/crates/control/tests/ledger_at_scale.rs
+++ b/crates/control/tests/ledger_at_scale.rs
@@ -506,8 +506,8 @@
 }
 
 /// After a crash of all controllers the first one back may be flooded by users' requests while
-/// the leases of workers that can't reach it expire. A leader is settling until it has heard
-/// most workers, for a bounded time.
+/// the leases of workers that can't reach it expire. Therefore a leader counts as settling until
+/// it has heard most workers, for a bounded time.
 #[test]
 fn a_new_leader_has_settled_once_most_workers_were_heard() {
     let mut cluster = TestCluster::new();
--- a/crates/control/tests/overdue_boots.rs
+++ b/crates/control/tests/overdue_boots.rs
@@ -7,7 +7,7 @@
 use cherrywood_wire::cloud::{ListedMachine, ListedMachineState, RentalRequest};
 use common::*;
 
-/// Answers the rentals of one autoscaler run; machines are named after number and zone. Returns
+/// Responds to the rentals of one autoscaler run; machines are named after number and zone. Returns
 /// each machine with its rental.
 fn rent(cluster: &mut TestCluster, count: &mut u32, now: f64) -> Vec<(String, RentalRequest)> {
     let mut got = Vec::new();
--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -161,8 +161,8 @@
     let batch = leader.job_batch(true, 1.0).unwrap();
     let outcome = store.apply(&batch.txn);
     assert!(batch.has_final_states() && matches!(outcome, WriteOutcome::Applied(_)));
-    // The job is reported as queued for half of the time, and then without counts until its final
-    // state is written.
+    // The job is reported as queued for half of `cancel_s`, and then its counts are withheld until
+    // its final state is written.
     assert_eq!(leader.task_counts(&many[999], 2.0), Some((0, 0)));
     assert_eq!(leader.task_counts(&many[999], 30.0), Some(COUNTS_WITHHELD));
     // The leader fails here, in the middle of the cancellations.
--- a/crates/control/tests/silent_machines.rs
+++ b/crates/control/tests/silent_machines.rs
@@ -39,8 +39,8 @@
     all
 }
 
-/// No response carries the stop to a silent machine. Without a direct command, cancelled tasks
-/// would run until the worker's lease expires.
+/// No heartbeat response carries the stop to a silent machine. Without a direct command, cancelled
+/// tasks would run until the worker's lease expires.
 #[test]
 fn cancelled_work_on_a_silent_machine_is_stopped_by_a_direct_command() {
     let (mut cluster, mut worker) = TestCluster::with_running_job(2);
--- a/crates/control/tests/starvation.rs
+++ b/crates/control/tests/starvation.rs
@@ -142,9 +142,9 @@
     }
 }
 
-/// High-priority jobs of the same team take all CPUs that become free. Without protection
-/// from starvation each other job got one task after two minutes and no further one while that
-/// lasted.
+/// High-priority jobs of the same team take all CPUs that become free. Without protection from
+/// starvation each other job would get one task after two minutes, and no further one while
+/// high-priority jobs keep arriving.
 #[test]
 fn no_job_of_a_team_at_its_quota_starves() {
     let mut team = QuotaLimitedTeam::new();
--- a/crates/net/tests/connection_pool/main.rs
+++ b/crates/net/tests/connection_pool/main.rs
@@ -390,7 +390,7 @@
     assert_under_one_heartbeat_in_a_hundred_fails(&results);
 }
 
-/// The situation after a failover, when all workers have just found a new controller.
+/// All workers have just found a new controller, as after a failover.
 #[test]
 fn under_one_heartbeat_in_a_hundred_fails_when_all_workers_begin_at_once() {
     let load = LoadTest {
--- a/crates/node/tests/direct_commands.rs
+++ b/crates/node/tests/direct_commands.rs
@@ -179,8 +179,8 @@
     });
 }
 
-/// The incarnation and sequence of a restarted worker begin anew, and look older than those
-/// before its restart.
+/// The incarnation and sequence of a restarted worker begin anew, and look older than those before
+/// its restart: without a status query the worker would count as silent and get no work.
 #[test]
 fn restarted_worker_gets_a_status_query_and_then_work() {
     run(async {
--- a/crates/node/tests/size.rs
+++ b/crates/node/tests/size.rs
@@ -92,8 +92,9 @@
     MACHINES - without_response.len()
 }
 
-/// With names of this length a frame of 3,000 heartbeats from idle machines exceeded the limit of
-/// a frame, and none of them ever got a response. A hello then names the whole shard.
+/// With names of this length one frame of 3,000 heartbeats from idle machines would exceed the
+/// limit of a frame, and none of them would ever get a response. A hello then names the whole
+/// shard.
 #[test]
 fn heartbeats_and_a_hello_of_4000_machines_pass_between_two_controllers() {
     run(async {
@@ -114,7 +115,8 @@
 }
 
 /// A commit to the ledger contains about 915 rows. On machines of 32 CPUs a row may stand for 32
-/// tasks: the commands for machines of one controller's shard made a frame that it refused.
+/// tasks: in one frame, the commands for the machines of a controller's shard would be more than
+/// that controller accepts.
 #[test]
 fn direct_commands_are_split_into_frames_within_the_limit() {
     let machine_commands = |n: usize| {
@@ -243,8 +245,8 @@
 }
 
 /// The response contains all changes that the key-value store keeps for a watch, each a new job
-/// with dependencies. When the client accepted 4 MiB, it refused the response repeatedly, until
-/// the leader's view of cancellations was too old.
+/// with dependencies. A client that accepts only 4 MiB would refuse the response repeatedly, until
+/// the leader's view of cancellations is too old.
 #[test]
 fn watch_response_with_10_000_changes_is_accepted() {
     let ids: Vec<String> = (0..16).map(|n| format!("wk-{n:06}")).collect();
--- a/crates/node/tests/status_queries.rs
+++ b/crates/node/tests/status_queries.rs
@@ -229,8 +229,8 @@
     assert_eq!(requests, 2);
 }
 
-/// Users whose jobs lack room submit them repeatedly: two reads for each submission used up a
-/// follower's whole share of the requests.
+/// Guards against two reads for each submission: users whose jobs lack room submit them repeatedly,
+/// and these reads would use up a follower's whole share of the requests.
 #[test]
 fn queries_for_unknown_jobs_share_store_requests() {
     let jobs: Vec<u32> = (900_000..900_150).collect();
