--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -359,7 +359,7 @@
     assert_eq!(
         progress_of(&store, id),
         [keys::progress(id)],
-        "one value, as the release in production writes it"
+        "one value, as the version in production writes it"
     );
     let small = StoreLimits::new(rates(32.0, 48), rates(2.0, 16));
     let mut dropped = small;
--- a/crates/limits/src/dependencies.rs
+++ b/crates/limits/src/dependencies.rs
@@ -8,8 +8,8 @@
 pub const PIPELINE_DEMAND_INTERVAL_S: f64 = 1.0;
 
 /// Share of `cancel_s` after which a job reached by a cascading cancellation is no longer
-/// reported as queued: if its end is still to be written after many others, its user is asked
-/// to query the status again.
+/// reported as queued: if its end is still to be written after many others, status queries for
+/// it get 503, so that its user repeats them.
 pub const CASCADING_CANCELLATION_QUEUED_SHARE: f64 = 0.5;
 
 /// Seconds between two checks for the ends of jobs that other jobs depend on.
--- a/crates/node/src/worker_client.rs
+++ b/crates/node/src/worker_client.rs
@@ -66,17 +66,19 @@
         commands: &DirectCommands,
     ) -> Option<Heartbeat> {
         let body = cherrywood_wire::encode(commands);
-        self.request_heartbeat(addr, "POST", "/orders", Some(&body))
+        self.send_to_worker(addr, "POST", "/orders", Some(&body))
             .await
     }
 
     /// Returns a worker's status, in the form of a heartbeat; `None` if the worker does not
     /// respond.
     pub(crate) async fn worker_status(&self, addr: &str) -> Option<Heartbeat> {
-        self.request_heartbeat(addr, "GET", "/status", None).await
+        self.send_to_worker(addr, "GET", "/status", None).await
     }
 
-    async fn request_heartbeat(
+    /// Sends a request to a worker on a new connection. Returns the heartbeat in its response, or
+    /// `None` without one within [`limits::DIRECT_COMMAND_TIMEOUT_S`].
+    async fn send_to_worker(
         &self,
         addr: &str,
         method: &str,
